--- a/lacewingdock/components/shifts/__init__.py
+++ b/lacewingdock/components/shifts/__init__.py
@@ -30,7 +30,7 @@
 from lacewingdock.components.shifts.pins import SessionPins
 from lacewingdock.components.shifts.report import Report, Stage, read_report
 from lacewingdock.components.shifts.reporter import Reporter
-from lacewingdock.components.shifts.returned import ReturnedOrders
+from lacewingdock.components.shifts.restored_orders import ReturnedOrders
 from lacewingdock.components.shifts.shift import Shift, VersionRule
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.exceptions import LacewingdockError
--- a/lacewingdock/components/suspects/__init__.py
+++ b/lacewingdock/components/suspects/__init__.py
@@ -14,6 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
+from lacewingdock.components.suspects.address_check import Found
 from lacewingdock.components.suspects.const import (
     CRASHES_TO_HOLD,
     FORGET_S,
@@ -28,9 +29,8 @@
     TELL_PAUSE_S,
     TRIAL_S,
 )
+from lacewingdock.components.suspects.crash_verdict import Fate, Look, fate_of
 from lacewingdock.components.suspects.decision import Decision
-from lacewingdock.components.suspects.look import Found
-from lacewingdock.components.suspects.verdict import Fate, Look, fate_of
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import Instance
 from lacewingdock.helpers.digest import digest
--- a/lacewingdock/components/suspects/look.py
+++ b/lacewingdock/components/suspects/address_check.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from lacewingdock.components.suspects.const import REACH_S
-from lacewingdock.components.suspects.verdict import Look
+from lacewingdock.components.suspects.crash_verdict import Look
 from lacewingdock.components.upstreams.connection import (
     TimedOut,
     UpstreamConnection,
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -31,7 +31,7 @@
 from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.shifts.const import KIND_REPORTS, ROUND_S
 from lacewingdock.components.suspects import Suspects
-from lacewingdock.components.suspects.look import Found, look_at
+from lacewingdock.components.suspects.address_check import Found, look_at
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import Instance
--- a/tests/components/gateway/fakes.py
+++ b/tests/components/gateway/fakes.py
@@ -15,7 +15,7 @@
 from lacewingdock.components.routes import Routes
 from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.suspects import Suspects
-from lacewingdock.components.suspects.look import look_at
+from lacewingdock.components.suspects.address_check import look_at
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.world.backend import UpstreamEntry
--- a/tests/components/shifts/test_returned.py
+++ b/tests/components/shifts/test_restored_orders.py
@@ -2,7 +2,9 @@
 
 import pytest
 
-from lacewingdock.components.shifts import returned as returned_module
+from lacewingdock.components.shifts import (
+    restored_orders as restored_orders_module,
+)
 from lacewingdock.components.shifts.report import Report, Stage
 from lacewingdock.platform.history import revision_of, shown
 from lacewingdock.platform.objects import StoredObject
@@ -20,7 +22,9 @@
 
     def __init__(self, monkeypatch):
         self.now = 50.0
-        monkeypatch.setattr(returned_module.time, "monotonic", lambda: self.now)
+        monkeypatch.setattr(
+            restored_orders_module.time, "monotonic", lambda: self.now
+        )
 
 
 @pytest.fixture
--- a/tests/components/suspects/fleet.py
+++ b/tests/components/suspects/fleet.py
@@ -4,8 +4,8 @@
 import time
 
 from lacewingdock.components.suspects import Suspects
-from lacewingdock.components.suspects.look import Found
-from lacewingdock.components.suspects.verdict import Look
+from lacewingdock.components.suspects.address_check import Found
+from lacewingdock.components.suspects.crash_verdict import Look
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.world.backend import UpstreamEntry
 from lacewingdock.world.call import Call
--- a/tests/components/suspects/test_look.py
+++ b/tests/components/suspects/test_address_check.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from lacewingdock.components.suspects.look import Found, look_at
-from lacewingdock.components.suspects.verdict import Look
+from lacewingdock.components.suspects.address_check import Found, look_at
+from lacewingdock.components.suspects.crash_verdict import Look
 from tests.components.gateway.fakes import Upstream
 
 
--- a/tests/components/suspects/test_verdict.py
+++ b/tests/components/suspects/test_crash_verdict.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lacewingdock.components.suspects.verdict import Fate, fate_of
+from lacewingdock.components.suspects.crash_verdict import Fate, fate_of
 from lacewingdock.components.upstreams.instance import Instance
 from tests.components.suspects.fleet import entry
 
