--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -35,7 +35,7 @@
 from lacewingdock.components.gateway.refusal import not_run, repeats_crash
 from lacewingdock.components.gateway.request_log import finished
 from lacewingdock.components.pacing.const import WAIT_PART
-from lacewingdock.components.shifts import Sample
+from lacewingdock.components.shifts import VersionSample
 from lacewingdock.components.suspects.decision import Decision
 from lacewingdock.components.upstreams.connection import CallerLeft
 from lacewingdock.components.upstreams.instance import (
@@ -424,7 +424,7 @@
         self.cascade.feel(result, first_at)
         self.tried.append(instance.entry.incarnation)
         self.gateway.shifts.add(
-            Sample(
+            VersionSample(
                 service=self.service,
                 version=instance.entry.version,
                 instance=instance.entry.incarnation,
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -12,7 +12,7 @@
 from lacewingdock.components.gateway.sizing import Pressure
 from lacewingdock.components.routes import Routes
 from lacewingdock.components.shifts import Shifts
-from lacewingdock.components.suspects import Suspects
+from lacewingdock.components.suspects import PoisonRequests
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.instance import Instance
 from lacewingdock.components.upstreams.pool import ConnectionPool
@@ -68,7 +68,7 @@
         routes: Routes,
         chooser: Chooser,
         shifts: Shifts,
-        suspects: Suspects,
+        suspects: PoisonRequests,
         metrics: GatewayMetrics,
         retry_terms: RetryTerms,
         source: random.Random,
--- a/lacewingdock/components/inspection/gather.py
+++ b/lacewingdock/components/inspection/gather.py
@@ -103,7 +103,7 @@
             bad=shift.evidence.bad,
             suspect=shift.suspect,
             found_bad=shift.found_bad,
-            reports=len(shifts.living_reports(shift)),
+            reports=len(shifts.live_reports(shift)),
         )
         for service, shift in sorted(shifts.running.items())
     ]
--- a/lacewingdock/components/shifts/__init__.py
+++ b/lacewingdock/components/shifts/__init__.py
@@ -26,7 +26,7 @@
     UNSEEN_MOST_S,
     WRITES_PART,
 )
-from lacewingdock.components.shifts.evidence import Sample
+from lacewingdock.components.shifts.evidence import VersionSample
 from lacewingdock.components.shifts.pins import SessionPins
 from lacewingdock.components.shifts.report import Report, Stage, read_report
 from lacewingdock.components.shifts.reporter import Reporter
@@ -50,7 +50,7 @@
 
 log = get_logger("shifts")
 
-__all__ = ["ReportListener", "Sample", "Shifts", "VersionRule"]
+__all__ = ["ReportListener", "Shifts", "VersionRule", "VersionSample"]
 
 
 class Shifts:
@@ -181,7 +181,7 @@
         found = shift.loaded & warm if shift.loaded else warm
         return any(self.admits(one) for one in found)
 
-    def add(self, sample: Sample, session: str) -> None:
+    def add(self, sample: VersionSample, session: str) -> None:
         """Take what an attempt showed of a version."""
         self.pins.keep(sample.service, session, sample.version)
         shift = self.running.get(sample.service)
@@ -226,19 +226,19 @@
             if shift.found_bad
         ]
 
-    def hear_message(self, message: Message) -> None:
+    def receive_message(self, message: Message) -> None:
         """Take what another router says of sessions and bad versions.
 
         The reports say the latter too, but they may be seen seconds late.
         """
         for one in message.sessions:
-            self.pins.hear(one)
+            self.pins.receive(one)
         for service, target in message.bad:
             if shift := self._running(service, target):
                 with self._lock:
                     shift.hear_bad(message.router)
 
-    def take_stored_report(self, stored: StoredObject) -> None:
+    def apply_stored_report(self, stored: StoredObject) -> None:
         """Take another router's report from the store."""
         report = read_report(stored)
         if report is None:
@@ -255,7 +255,7 @@
         ]
         return msgspec.json.encode(reports) if reports else b""
 
-    def hear(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Take another router's reports from itself.
 
         A router that the store turns away can't write them; without its bad
@@ -433,19 +433,19 @@
             if one.entry.version != shift.order.target
         )
 
-    def living_reports(self, shift: Shift) -> list[Report]:
+    def live_reports(self, shift: Shift) -> list[Report]:
         """Return the other routers' reports of a roll-out, if they live."""
         lost_s = REPORTS_LOST * self.reporter.quiet_pace_s()
-        return shift.living_reports(lost_s)
+        return shift.live_reports(lost_s)
 
     def _is_behind(self, shift: Shift) -> bool:
         """Whether a router that lives has not moved all of its requests."""
         if shift.stage is not Stage.ALL:
             return True
-        reports = self.living_reports(shift)
+        reports = self.live_reports(shift)
         if shift.due:
             late_s = max(REPORT_LATE_S, REPORTS_LOST * self.reporter.pace_s())
-            reports = shift.living_reports(late_s)
+            reports = shift.live_reports(late_s)
         return any(report.stage is not Stage.ALL for report in reports)
 
     def _is_done(self, shift: Shift) -> bool:
@@ -460,7 +460,7 @@
             # completion stops at once.
             return False
         return not self._old_running(shift) and not any(
-            report.old_running for report in self.living_reports(shift)
+            report.old_running for report in self.live_reports(shift)
         )
 
     def _end(self, shift: Shift, state: ShiftState) -> None:
--- a/lacewingdock/components/shifts/evidence.py
+++ b/lacewingdock/components/shifts/evidence.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Sample:
+class VersionSample:
     """What one attempt showed of a version.
 
     Attributes:
@@ -75,7 +75,7 @@
         )
         self._blamed_at: dict[str, float] = {}
 
-    def add(self, sample: Sample, *, is_new: bool) -> None:
+    def add(self, sample: VersionSample, *, is_new: bool) -> None:
         """Count an answer."""
         is_bad = sample.bad or self._is_slow(sample)
         if is_bad and not self._is_new_cause(sample.instance):
@@ -90,7 +90,7 @@
             self.bad += 1
             self.bad_instances.add(sample.instance)
 
-    def _is_slow(self, sample: Sample) -> bool:
+    def _is_slow(self, sample: VersionSample) -> bool:
         times = self._times[sample.route]
         if len(times) < MEDIAN_MIN:
             return False
--- a/lacewingdock/components/shifts/pins.py
+++ b/lacewingdock/components/shifts/pins.py
@@ -59,7 +59,7 @@
                 if name == service and now - at <= self.kept_s
             ]
 
-    def hear(self, told: KeptSession) -> None:
+    def receive(self, told: KeptSession) -> None:
         """Take another router's word, unless what is known is newer."""
         key = (told.service, told.session)
         at = time.monotonic() - told.age_s
--- a/lacewingdock/components/shifts/shift.py
+++ b/lacewingdock/components/shifts/shift.py
@@ -222,7 +222,7 @@
             # It saw the order earlier: this router started since.
             self.known_s += ahead
 
-    def living_reports(self, lost_s: float) -> list[Report]:
+    def live_reports(self, lost_s: float) -> list[Report]:
         """Return the reports of routers that live.
 
         Args:
--- a/lacewingdock/components/suspects/__init__.py
+++ b/lacewingdock/components/suspects/__init__.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from lacewingdock.components.suspects.address_check import Found
+from lacewingdock.components.suspects.address_check import AddressCheck
 from lacewingdock.components.suspects.const import (
     CRASHES_TO_HOLD,
     FORGET_S,
@@ -87,7 +87,7 @@
         return max([*self.own.values(), *self.told.values()], default=-math.inf)
 
 
-class Suspects:
+class PoisonRequests:
     """The requests that were lost at instances, by fingerprint.
 
     Attributes:
@@ -119,7 +119,7 @@
         self,
         directory: Directory,
         publish: Callable[[Losses], bool],
-        reach: Callable[[Instance], Found],
+        reach: Callable[[Instance], AddressCheck],
         source: random.Random,
     ) -> None:
         """Start without suspects."""
@@ -248,7 +248,7 @@
             told=sorted(found.told),
         )
 
-    def hear(self, router: str, losses: Losses) -> None:
+    def receive(self, router: str, losses: Losses) -> None:
         """Take what another router told; only what is new in it counts."""
         with self._lock:
             before = self.heard.pop(router, {})
@@ -329,7 +329,7 @@
         with self._lock:
             return sum(one.held_until > now for one in self.suspects.values())
 
-    def tell_again(self) -> None:
+    def republish(self) -> None:
         """Tell the others all that counts, since the store may have lost it."""
         self.told = {}
 
--- a/lacewingdock/components/suspects/address_check.py
+++ b/lacewingdock/components/suspects/address_check.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
+class AddressCheck:
     """What was found at an address.
 
     Attributes:
@@ -29,7 +29,7 @@
     answered_by: str = ""
 
 
-def look_at(entry: UpstreamEntry, path: str) -> Found:
+def check_address(entry: UpstreamEntry, path: str) -> AddressCheck:
     """Ask at an instance's address, naming the instance.
 
     Args:
@@ -40,7 +40,7 @@
     try:
         sock = connect(entry.host, entry.port, REACH_S)
     except UpstreamLost:
-        return Found(Look.NOTHING)
+        return AddressCheck(Look.NOTHING)
     connection = UpstreamConnection(sock, 0.0)
     try:
         left_s = until - time.monotonic()
@@ -48,12 +48,12 @@
         connection.send("", b"GET", path.encode(), headers, b"", left_s)
         return _found(connection.read_head(until), entry)
     except (UpstreamLost, TimedOut):
-        return Found(Look.UNCLEAR)
+        return AddressCheck(Look.UNCLEAR)
     finally:
         connection.close()
 
 
-def _found(head: AnswerHead, entry: UpstreamEntry) -> Found:
+def _found(head: AnswerHead, entry: UpstreamEntry) -> AddressCheck:
     if head.is_by_other(entry.id):
-        return Found(Look.ANOTHER, head.instance)
-    return Found(Look.ITSELF)
+        return AddressCheck(Look.ANOTHER, head.instance)
+    return AddressCheck(Look.ITSELF)
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -30,8 +30,11 @@
 from lacewingdock.components.routes import Routes
 from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.shifts.const import KIND_REPORTS, ROUND_S
-from lacewingdock.components.suspects import Suspects
-from lacewingdock.components.suspects.address_check import Found, look_at
+from lacewingdock.components.suspects import PoisonRequests
+from lacewingdock.components.suspects.address_check import (
+    AddressCheck,
+    check_address,
+)
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import Instance
@@ -170,13 +173,13 @@
             self.routers.count,
         )
         self.routers.tell = self.shifts.own_reports
-        self.suspects = Suspects(
+        self.suspects = PoisonRequests(
             self.directory, self.routers.publish, self._look_at, self.random
         )
         self.routers.heard = lambda router, status: (
             self.suspects.recover(status.losses)
             if router == host.instance
-            else self.suspects.hear(router, status.losses)
+            else self.suspects.receive(router, status.losses)
         )
         self.mirrors = self._mirrors()
         self.api.eras.on_return.append(
@@ -218,7 +221,7 @@
             host.ready_address, self.missing, self.leaving
         )
         self.copies = CopiesPort(
-            host.peer_address, self.mirrors, self.health, self.shifts.hear
+            host.peer_address, self.mirrors, self.health, self.shifts.receive
         )
         self.inspection = self._inspection()
 
@@ -358,7 +361,7 @@
             KIND_CONFIGURATION: EachObject(self.routes.take),
             KIND_INSTANCES: InstanceListener(self.directory),
             KIND_SHIFTS: EachObject(self.shifts.take, self.shifts.drop),
-            KIND_REPORTS: EachObject(self.shifts.take_stored_report),
+            KIND_REPORTS: EachObject(self.shifts.apply_stored_report),
             KIND_ROUTERS: EachObject(self.routers.take, self.routers.drop),
         }
         self.cordons = CordonListener(self.directory)
@@ -377,10 +380,10 @@
             ),
         )
 
-    def _look_at(self, instance: Instance) -> Found:
+    def _look_at(self, instance: Instance) -> AddressCheck:
         """Ask at an instance's address, naming it, whether it lives."""
         path = self.routes.health_path(instance.entry.service)
-        return look_at(instance.entry, path)
+        return check_address(instance.entry, path)
 
     def _bounds(self) -> Bounds:
         return self.host.bounds
--- a/lacewingdock/daemons/router_ports.py
+++ b/lacewingdock/daemons/router_ports.py
@@ -72,7 +72,7 @@
         compose,
         [
             fleet_load.hear,
-            shifts.hear_message,
+            shifts.receive_message,
             lambda message: hear_life(directory, message),
             lambda message: hear_limits(directory, message),
             lambda message: directory.replaced_by_other(
--- a/lacewingdock/daemons/router_return.py
+++ b/lacewingdock/daemons/router_return.py
@@ -5,7 +5,7 @@
 
 from lacewingdock.components.mirror.health import StoreHealth
 from lacewingdock.components.routers import Routers
-from lacewingdock.components.suspects import Suspects
+from lacewingdock.components.suspects import PoisonRequests
 from lacewingdock.components.upstreams.directory import LAPSE_S, Directory
 from lacewingdock.world.host import Bounds
 
@@ -17,7 +17,7 @@
     health: StoreHealth,
     directory: Directory,
     routers: Routers,
-    suspects: Suspects,
+    suspects: PoisonRequests,
     bounds: Callable[[], Bounds],
 ) -> Callable[[], None]:
     """Return what is done when the store is back from a copy.
@@ -33,7 +33,7 @@
     def returned() -> None:
         health.restored()
         directory.restored(held_s(bounds()))
-        suspects.tell_again()
+        suspects.republish()
         routers.due.set()
 
     return returned
--- a/tests/components/gateway/fakes.py
+++ b/tests/components/gateway/fakes.py
@@ -14,8 +14,8 @@
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.routes import Routes
 from lacewingdock.components.shifts import Shifts
-from lacewingdock.components.suspects import Suspects
-from lacewingdock.components.suspects.address_check import look_at
+from lacewingdock.components.suspects import PoisonRequests
+from lacewingdock.components.suspects.address_check import check_address
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.world.backend import UpstreamEntry
@@ -265,7 +265,7 @@
         source = random.Random(7)
         self.published = []
         self.shifts = Shifts(self.host, "inc", None, self.directory, lambda: 1)
-        self.suspects = Suspects(
+        self.suspects = PoisonRequests(
             self.directory, self._publish, self._reach, source
         )
         chooser = Chooser(self.directory, "d1", source)
@@ -290,7 +290,7 @@
         self.pool.submit(self.port.listener.run, self.stopping)
 
     def _reach(self, instance):
-        return look_at(instance.entry, "/health")
+        return check_address(instance.entry, "/health")
 
     def _publish(self, losses):
         self.published.append(losses)
--- a/tests/components/gateway/test_suspects.py
+++ b/tests/components/gateway/test_suspects.py
@@ -169,7 +169,7 @@
     """Have another router tell of three crashes of a request."""
     names = [f"gone-{number}" for number in range(3)]
     request = Call("x", b"POST", b"/r/x?q=1", "h.example", "/r/x", body=body)
-    stage.suspects.hear("r-2", {fingerprint_of(request, "w-1"): names})
+    stage.suspects.receive("r-2", {fingerprint_of(request, "w-1"): names})
 
 
 class LatePool(ConnectionPool):
--- a/tests/components/gossip/test_limits.py
+++ b/tests/components/gossip/test_limits.py
@@ -29,7 +29,7 @@
         platform="http://127.0.0.1:1",
     )
     shifts = SimpleNamespace(
-        sessions_to_keep=list, found_bad=list, hear_message=lambda _: None
+        sessions_to_keep=list, found_bad=list, receive_message=lambda _: None
     )
     routers = SimpleNamespace(addresses=list, is_at=lambda *_: True)
     port = build_gossip(
--- a/tests/components/shifts/fakes.py
+++ b/tests/components/shifts/fakes.py
@@ -2,7 +2,7 @@
 
 from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.shifts import shift as shift_module
-from lacewingdock.components.shifts.evidence import Sample
+from lacewingdock.components.shifts.evidence import VersionSample
 from lacewingdock.components.shifts.report import Report, Stage
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.const import RAN_UNKNOWN
@@ -102,7 +102,7 @@
 
 
 def sample(version, instance, bad=False, seconds=0.1):
-    return Sample("svc", version, instance, "r", bad, False, seconds)
+    return VersionSample("svc", version, instance, "r", bad, False, seconds)
 
 
 def good_answers(shifts, count=20):
--- a/tests/components/shifts/test_gossip.py
+++ b/tests/components/shifts/test_gossip.py
@@ -30,7 +30,7 @@
     clock.now += SETTLE_S
     told = first.sessions_to_keep()
     assert {one.session for one in told} == set(drawn)
-    second.hear_message(Message("r-1", 1, 1, [], told))
+    second.receive_message(Message("r-1", 1, 1, [], told))
     for name in drawn:
         assert not second.version("svc", call(1, name)).allows("v2")
     # What was heard is told on, no younger than it was.
@@ -49,7 +49,7 @@
 def test_heard_session_is_not_younger_than_the_own_one():
     shifts = router(Store())
     shifts.pins.keep("svc", "s", "v2")
-    shifts.pins.hear(KeptSession("svc", "s", "v1", 3))
+    shifts.pins.receive(KeptSession("svc", "s", "v1", 3))
     assert shifts.pins.version("svc", "s") == "v2"
 
 
@@ -64,9 +64,11 @@
     assert share_of_new(second) > 0
     first.running["svc"].found_bad = "answers"
     bad = first.found_bad()
-    second.hear_message(Message("r-1", 1, 1, bad=[("svc", "v9"), ("x", "v2")]))
+    second.receive_message(
+        Message("r-1", 1, 1, bad=[("svc", "v9"), ("x", "v2")])
+    )
     assert not second.running["svc"].found_bad
-    second.hear_message(Message("r-1", 1, 2, bad=bad))
+    second.receive_message(Message("r-1", 1, 2, bad=bad))
     assert share_of_new(second) == 0.0
     assert second.found_bad() == bad == [("svc", "v2")]
 
@@ -86,5 +88,5 @@
     for turn in range(40):
         now[0] += 0.33
         for one in pins[turn % 2].of_service("svc"):
-            pins[1 - turn % 2].hear(one)
+            pins[1 - turn % 2].receive(one)
     assert not any(one.of_service("svc") for one in pins)
--- a/tests/components/shifts/test_shift.py
+++ b/tests/components/shifts/test_shift.py
@@ -223,8 +223,8 @@
     evidence.bad = 4
     evidence.answers += 4
     evidence.bad_instances |= {"i-2", "i-3"}
-    other.hear(b"no reports")
-    other.hear(cut.own_reports())
+    other.receive(b"no reports")
+    other.receive(cut.own_reports())
     other.round()
     assert store.order.status["state"] == "rolled_back"
 
@@ -295,7 +295,7 @@
     assert first.running["svc"].stage is Stage.ALL
     since = time.monotonic()
     monkeypatch.setattr(time, "monotonic", lambda: since + 6.0)
-    assert not first.living_reports(first.running["svc"])
+    assert not first.live_reports(first.running["svc"])
     first.store_doubtful = lambda: True
     first.round()
     assert store.order.status["state"] == "running"
@@ -331,7 +331,7 @@
     report = Report("svc", "v2", "r-2", "r-2-inc", old_running=3)
     shifts.take_report(report)
     monkeypatch.setattr(time, "monotonic", lambda: now + age_s)
-    found = shifts.living_reports(shifts.running["svc"])
+    found = shifts.live_reports(shifts.running["svc"])
     assert bool(found) is lives
 
 
--- a/tests/components/suspects/fleet.py
+++ b/tests/components/suspects/fleet.py
@@ -3,8 +3,8 @@
 import random
 import time
 
-from lacewingdock.components.suspects import Suspects
-from lacewingdock.components.suspects.address_check import Found
+from lacewingdock.components.suspects import PoisonRequests
+from lacewingdock.components.suspects.address_check import AddressCheck
 from lacewingdock.components.suspects.crash_verdict import Look
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.world.backend import UpstreamEntry
@@ -38,7 +38,7 @@
         self.alive = set()
         self.unclear = set()
         self.routers = [
-            Suspects(
+            PoisonRequests(
                 directory,
                 lambda losses, n=n: self.publish(n, losses),
                 self.reach,
@@ -50,16 +50,16 @@
     def reach(self, instance):
         """Ask an instance: crashed ones take no connection."""
         if instance.entry.id in self.unclear:
-            return Found(Look.UNCLEAR)
+            return AddressCheck(Look.UNCLEAR)
         alive = instance.entry.id in self.alive
-        return Found(Look.ITSELF if alive else Look.NOTHING)
+        return AddressCheck(Look.ITSELF if alive else Look.NOTHING)
 
     def publish(self, number, losses):
         """Take what one router tells to all others."""
         self.writes += 1
         for other, router in enumerate(self.routers):
             if other != number:
-                router.hear(f"r-{number}", losses)
+                router.receive(f"r-{number}", losses)
         return True
 
     def round(self, only_due=False):
--- a/tests/components/suspects/test_address_check.py
+++ b/tests/components/suspects/test_address_check.py
@@ -5,7 +5,10 @@
 
 import pytest
 
-from lacewingdock.components.suspects.address_check import Found, look_at
+from lacewingdock.components.suspects.address_check import (
+    AddressCheck,
+    check_address,
+)
 from lacewingdock.components.suspects.crash_verdict import Look
 from tests.components.gateway.fakes import Upstream
 
@@ -35,25 +38,28 @@
 @pytest.mark.parametrize(
     ("reply", "found"),
     [
-        (says(b"200 OK", b"Instance-Id: i-1"), Found(Look.ITSELF)),
-        (says(b"503 Draining", b"Instance-Id: i-1"), Found(Look.ITSELF)),
-        (says(b"503 Full", b"Not-Executed: 1"), Found(Look.ITSELF)),
-        (says(b"404 Not Found"), Found(Look.ITSELF)),
+        (says(b"200 OK", b"Instance-Id: i-1"), AddressCheck(Look.ITSELF)),
+        (says(b"503 Draining", b"Instance-Id: i-1"), AddressCheck(Look.ITSELF)),
+        (says(b"503 Full", b"Not-Executed: 1"), AddressCheck(Look.ITSELF)),
+        (says(b"404 Not Found"), AddressCheck(Look.ITSELF)),
         (
             says(b"421 Misdirected", b"Instance-Id: i-2"),
-            Found(Look.ANOTHER, "i-2"),
+            AddressCheck(Look.ANOTHER, "i-2"),
+        ),
+        (says(b"421 Misdirected"), AddressCheck(Look.ANOTHER)),
+        (
+            says(b"200 OK", b"Instance-Id: i-2"),
+            AddressCheck(Look.ANOTHER, "i-2"),
         ),
-        (says(b"421 Misdirected"), Found(Look.ANOTHER)),
-        (says(b"200 OK", b"Instance-Id: i-2"), Found(Look.ANOTHER, "i-2")),
-        (b"", Found(Look.UNCLEAR)),
-        (b"garbage\r\n\r\n", Found(Look.UNCLEAR)),
-        (None, Found(Look.UNCLEAR)),
+        (b"", AddressCheck(Look.UNCLEAR)),
+        (b"garbage\r\n\r\n", AddressCheck(Look.UNCLEAR)),
+        (None, AddressCheck(Look.UNCLEAR)),
     ],
 )
 def test_who_answers(reply, found):
     """An open port is no sign of life: whoever listens there takes it."""
     server = Server(reply)
-    assert look_at(server.entry("i-1"), "/health") == found
+    assert check_address(server.entry("i-1"), "/health") == found
     request = server.asked[0].lower()
     assert request.startswith("get /health http/1.1\r\n")
     assert "expect-instance: i-1\r\n" in request
@@ -64,5 +70,5 @@
 def test_a_closed_port_takes_no_connection():
     with socket.create_server(("127.0.0.1", 0)) as sock:
         port = sock.getsockname()[1]
-    found = look_at(Upstream().entry(port=port), "/health")
-    assert found == Found(Look.NOTHING)
+    found = check_address(Upstream().entry(port=port), "/health")
+    assert found == AddressCheck(Look.NOTHING)
--- a/tests/components/suspects/test_suspects.py
+++ b/tests/components/suspects/test_suspects.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lacewingdock.components import suspects as suspects_module
-from lacewingdock.components.suspects import Suspects, fingerprint_of
+from lacewingdock.components.suspects import PoisonRequests, fingerprint_of
 from lacewingdock.components.suspects.const import (
     CRASHES_TO_HOLD,
     FORGET_S,
@@ -301,7 +301,7 @@
 
 def test_what_could_not_be_told_is_told_again(clock):
     told = []
-    suspects = Suspects(Directory(), told.append, None, random.Random(1))
+    suspects = PoisonRequests(Directory(), told.append, None, random.Random(1))
     suspects.lost(call(), "w", "i-0")
     clock.now += HOLD_S
     suspects.round()
--- a/tests/components/upstreams/test_restarts.py
+++ b/tests/components/upstreams/test_restarts.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from lacewingdock.components.suspects import Suspects
+from lacewingdock.components.suspects import PoisonRequests
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.connection import UpstreamConnection
 from lacewingdock.components.upstreams.directory import Directory
@@ -134,7 +134,9 @@
     takes connections. Cause: its life spoke against the crash.
     """
     found = directory(*(entry(FIRST, id=f"i-{n}") for n in range(3)))
-    suspects = Suspects(found, lambda _: True, lambda _: True, random.Random(1))
+    suspects = PoisonRequests(
+        found, lambda _: True, lambda _: True, random.Random(1)
+    )
     call = Call("c", b"POST", b"/x", "h", "/x")
     held = []
     for number in range(3):
