--- a/lacewingdock/components/shifts/__init__.py
+++ b/lacewingdock/components/shifts/__init__.py
@@ -19,18 +19,18 @@
     Message,
 )
 from lacewingdock.components.shifts.const import (
+    MAX_UNSEEN_S,
     QUIET_REPORTS_PER_S,
     REPORT_LATE_S,
     REPORT_S,
     REPORTS_LOST,
-    UNSEEN_MOST_S,
     WRITES_PART,
 )
 from lacewingdock.components.shifts.evidence import VersionSample
 from lacewingdock.components.shifts.pins import SessionPins
 from lacewingdock.components.shifts.report import Report, Stage, read_report
 from lacewingdock.components.shifts.reporter import Reporter
-from lacewingdock.components.shifts.restored_orders import ReturnedOrders
+from lacewingdock.components.shifts.restored_orders import RestoredOrders
 from lacewingdock.components.shifts.shift import Shift, VersionRule
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.exceptions import LacewingdockError
@@ -111,7 +111,7 @@
         self.api = api
         self.directory = directory
         self.orders: dict[str, ShiftOrder] = {}
-        self.returned = ReturnedOrders()
+        self.returned = RestoredOrders()
         self.running: dict[str, Shift] = {}
         self.settled: dict[str, str] = {}
         self.refused: dict[str, str] = {}
@@ -161,29 +161,33 @@
         if present == {target}:
             return VersionRule(only=target)
         pinned = self.pins.version(service, call.session)
-        if pinned != target and not self._takes_load(shift):
+        if pinned != target and not self._has_capacity(shift):
             return VersionRule(never=target)
         if pinned is not None and pinned != target and shift.keeps_sessions:
             return VersionRule(never=target)
-        if pinned == target or shift.takes(call):
+        if pinned == target or shift.moves(call):
             # One that failed there may go to any that is left.
-            instances = frozenset() if again else shift.loaded
+            instances = frozenset() if again else shift.full_load_instances
             return VersionRule(only=target, instances=instances)
         return VersionRule(never=target)
 
-    def _takes_load(self, shift: Shift) -> bool:
+    def _has_capacity(self, shift: Shift) -> bool:
         """Whether an instance that gets the new version's requests takes one.
 
         It must be warm, and if it takes few, have a turn for it. Else requests
         would be refused although the old version's instances have places.
         """
         warm = self.directory.warm(shift.order.service, shift.order.target)
-        found = shift.loaded & warm if shift.loaded else warm
+        found = (
+            shift.full_load_instances & warm
+            if shift.full_load_instances
+            else warm
+        )
         return any(self.admits(one) for one in found)
 
     def add(self, sample: VersionSample, session: str) -> None:
         """Take what an attempt showed of a version."""
-        self.pins.keep(sample.service, session, sample.version)
+        self.pins.pin(sample.service, session, sample.version)
         shift = self.running.get(sample.service)
         if shift is None or sample.refused:
             return
@@ -191,13 +195,13 @@
             is_new = sample.version == shift.order.target
             shift.evidence.add(sample, is_new=is_new)
 
-    def take_report(self, report: Report) -> None:
+    def apply_report(self, report: Report) -> None:
         """Take another router's report."""
         shift = self._running(report.service, report.target)
         if shift is None or report.incarnation == self.reporter.incarnation:
             return
         with self._lock:
-            shift.take_report(report)
+            shift.apply_report(report)
 
     def sessions_to_keep(self) -> list[KeptSession]:
         """Return the sessions that other routers would move too early.
@@ -214,7 +218,7 @@
             found += [
                 one
                 for one in self.pins.of_service(service)
-                if one.version != target and shift.draws(one.session)
+                if one.version != target and shift.selects(one.session)
             ]
         return sorted(found, key=lambda one: one.age_s)[:MAX_SESSIONS]
 
@@ -236,7 +240,7 @@
         for service, target in message.bad:
             if shift := self._running(service, target):
                 with self._lock:
-                    shift.hear_bad(message.router)
+                    shift.mark_bad(message.router)
 
     def apply_stored_report(self, stored: StoredObject) -> None:
         """Take another router's report from the store."""
@@ -244,7 +248,7 @@
         if report is None:
             log.error("report refused", report=stored.name)
             return
-        self.take_report(report)
+        self.apply_report(report)
 
     def own_reports(self) -> bytes:
         """Return this router's reports, for others to hear in an outage."""
@@ -267,7 +271,7 @@
             log.error("reports refused", error=str(error))
             return
         for report in reports:
-            self.take_report(report)
+            self.apply_report(report)
 
     def round(self) -> None:
         """Judge, move on, report and end what is due."""
@@ -282,7 +286,7 @@
                 self._end(shift, ShiftState.COMPLETED)
             elif shift.order.state is ShiftState.ORDERED:
                 self._end(shift, ShiftState.RUNNING)
-        self._settle()
+        self._resume_deferred()
         self.pins.prune()
 
     def _running(self, service: str, target: str) -> Shift | None:
@@ -311,12 +315,12 @@
         known = self.orders.get(order.service)
         if known is not None and known.revision >= order.revision:
             return
-        if known is not None and self._may_be_lost_state(known, order):
+        if known is not None and self._may_be_outdated(known, order):
             if known.target != order.target:
                 self._defer(order)
                 return
             if known.state.ended and not order.state.ended:
-                self._restore_end(known, order)
+                self._rewrite_end(known, order)
                 return
         self._begin(order)
 
@@ -340,7 +344,7 @@
         )
         self._apply(order, waited_s)
 
-    def _may_be_lost_state(self, known: ShiftOrder, order: ShiftOrder) -> bool:
+    def _may_be_outdated(self, known: ShiftOrder, order: ShiftOrder) -> bool:
         """Whether the store may show an order as it was before what is known.
 
         It is back from a copy, and the operator's later orders and the ends
@@ -359,16 +363,16 @@
             revision=shown(order.revision),
         )
 
-    def _settle(self) -> None:
+    def _resume_deferred(self) -> None:
         """Go by what a store that is back from a copy shows by now."""
         if self.returned.deferred and not self.store_doubtful():
-            for waited_s, order in self.returned.settled():
+            for waited_s, order in self.returned.pop_deferred():
                 self._begin(order, waited_s)
-        for service in self.returned.due():
+        for service in self.returned.due_writes():
             order = self.orders[service]
             self._write_status(order, order.state)
 
-    def _restore_end(self, known: ShiftOrder, order: ShiftOrder) -> None:
+    def _rewrite_end(self, known: ShiftOrder, order: ShiftOrder) -> None:
         """Write again how an order ended, which the store lost.
 
         Begun anew, a version that was rolled back would get requests again.
@@ -376,7 +380,9 @@
         self.orders[order.service] = replace(order, state=known.state)
         # Spread over the fleet: once one has written it, the others see it.
         spread = zlib.crc32(self.reporter.router.encode()) / 2**32
-        self.returned.write_end(order.service, spread * self.reporter.pace_s())
+        self.returned.schedule_end_write(
+            order.service, spread * self.reporter.pace_s()
+        )
 
     def _apply(self, order: ShiftOrder, waited_s: float) -> None:
         service = order.service
@@ -408,7 +414,7 @@
         long an age costs a part of the canary's time, and exposes no more.
         """
         unseen_s = self.unseen_s()
-        return unseen_s if unseen_s <= UNSEEN_MOST_S else 0.0
+        return unseen_s if unseen_s <= MAX_UNSEEN_S else 0.0
 
     def drop(self, stored: StoredObject) -> None:
         """Take an order that was removed: it is over."""
@@ -438,21 +444,21 @@
         lost_s = REPORTS_LOST * self.reporter.quiet_pace_s()
         return shift.live_reports(lost_s)
 
-    def _is_behind(self, shift: Shift) -> bool:
+    def _is_router_behind(self, shift: Shift) -> bool:
         """Whether a router that lives has not moved all of its requests."""
         if shift.stage is not Stage.ALL:
             return True
         reports = self.live_reports(shift)
-        if shift.due:
+        if shift.deadline_reached:
             late_s = max(REPORT_LATE_S, REPORTS_LOST * self.reporter.pace_s())
             reports = shift.live_reports(late_s)
         return any(report.stage is not Stage.ALL for report in reports)
 
     def _is_done(self, shift: Shift) -> bool:
         """Whether all requests moved and nothing runs on what is stopped."""
-        if shift.suspect or self._is_behind(shift):
+        if shift.suspect or self._is_router_behind(shift):
             return False
-        if shift.due:
+        if shift.deadline_reached:
             return True
         if self.store_doubtful():
             # Nobody could report while the store was away, so a router that is
--- a/lacewingdock/components/shifts/const.py
+++ b/lacewingdock/components/shifts/const.py
@@ -22,18 +22,18 @@
 # load on was completed with two bad answers of 58 otherwise: streams last
 # seconds, so load builds up later than the move. Two, since one that fails
 # alone is a bad instance and no bad version.
-LOADED_INSTANCES: Final = 2
+FULL_LOAD_INSTANCES: Final = 2
 # For how long: streams of some seconds that begin at a steady rate reach their
 # full number in the time that one takes.
-LOADED_S: Final = 4.0
+FULL_LOAD_S: Final = 4.0
 # What it may take of the exposure that is there for the move, and the least
 # time that is of use. Where it does not suffice, as with few instances,
 # nothing is loaded ahead.
-LOADED_PART: Final = 0.4
-LOADED_LEAST_S: Final = 3.0
+FULL_LOAD_PART: Final = 0.4
+FULL_LOAD_MIN_S: Final = 3.0
 # What must be left for the move: half of the requests, then all, then the
 # reports of all routers that nothing is left on the old version.
-LOADED_MOVE_S: Final = 1.2
+FULL_LOAD_MOVE_S: Final = 1.2
 # Sessions stay on their version for the first half of an order's time; a bit
 # later, since routers reckon it a moment apart.
 SESSIONS_MOVE_PART: Final = 0.55
@@ -51,8 +51,8 @@
 SLOW_FACTOR: Final = 3.0
 SLOW_EXTRA_S: Final = 0.15
 # Old answers by route that the median goes by, and the least for one.
-MEDIAN_OF: Final = 41
-MEDIAN_MIN: Final = 5
+MEDIAN_WINDOW: Final = 41
+MEDIAN_MIN_SAMPLES: Final = 5
 # Failures of one instance within this time have one cause: a crash ends all
 # that runs there.
 SAME_CAUSE_S: Final = 0.5
@@ -92,8 +92,8 @@
 CONTROL_HALF_LIFE: Final = 6.0
 # The largest share of bad answers that the old version excuses: beyond, the
 # new one could fail almost always and still look no worse.
-MOST_TOLERATED: Final = 0.3
+MAX_TOLERATED_SHARE: Final = 0.3
 # Longest time for which an order counts as gone unseen: a watch that went deaf
 # and a list. A router that was cut off for longer does not know its age; the
 # others' reports tell it.
-UNSEEN_MOST_S: Final = 3.5
+MAX_UNSEEN_S: Final = 3.5
--- a/lacewingdock/components/shifts/evidence.py
+++ b/lacewingdock/components/shifts/evidence.py
@@ -13,9 +13,9 @@
 from lacewingdock.components.exposure.judge import Control
 from lacewingdock.components.shifts.const import (
     CONTROL_HALF_LIFE,
-    MEDIAN_MIN,
-    MEDIAN_OF,
-    MOST_TOLERATED,
+    MAX_TOLERATED_SHARE,
+    MEDIAN_MIN_SAMPLES,
+    MEDIAN_WINDOW,
     SAME_CAUSE_S,
     SLOW_EXTRA_S,
     SLOW_FACTOR,
@@ -45,7 +45,7 @@
     seconds: float
 
 
-class Evidence:
+class VersionEvidence:
     """Answers of the new version against those of the old one.
 
     Attributes:
@@ -71,7 +71,7 @@
         self.bad = 0
         self.bad_instances: set[str] = set()
         self._times: defaultdict[str, deque[float]] = defaultdict(
-            lambda: deque(maxlen=MEDIAN_OF)
+            lambda: deque(maxlen=MEDIAN_WINDOW)
         )
         self._blamed_at: dict[str, float] = {}
 
@@ -92,7 +92,7 @@
 
     def _is_slow(self, sample: VersionSample) -> bool:
         times = self._times[sample.route]
-        if len(times) < MEDIAN_MIN:
+        if len(times) < MEDIAN_MIN_SAMPLES:
             return False
         usual = statistics.median(times)
         return sample.seconds > usual * SLOW_FACTOR + SLOW_EXTRA_S
@@ -128,7 +128,7 @@
         self.bad = 0
         self.wealths = [1.0] * len(ERROR_SHARES)
 
-    def see(self, answers: int, bad: int, level: float) -> None:
+    def update(self, answers: int, bad: int, level: float) -> None:
         """Take the sums as they are now.
 
         Args:
@@ -155,11 +155,11 @@
         return sum(self.wealths) / len(self.wealths)
 
 
-def tolerated(control: Control) -> float:
+def tolerated_share(control: Control) -> float:
     """Return the share of bad answers that a good version may have now.
 
     Twice the old version's, as a longer roll-out takes it, hid a version that
     failed half of its requests while the old one had lost four instances.
     """
     seen = control.errors / control.requests if control.requests else 0.0
-    return min(seen + ERROR_TOLERANCE, MOST_TOLERATED)
+    return min(seen + ERROR_TOLERANCE, MAX_TOLERATED_SHARE)
--- a/lacewingdock/components/shifts/pins.py
+++ b/lacewingdock/components/shifts/pins.py
@@ -29,7 +29,7 @@
         self._pins: dict[tuple[str, str], tuple[str, float]] = {}
         self._lock = threading.Lock()
 
-    def keep(self, service: str, session: str, version: str) -> None:
+    def pin(self, service: str, session: str, version: str) -> None:
         """Note that a request of a session ran on a version."""
         if session:
             with self._lock:
@@ -41,7 +41,7 @@
             return None
         with self._lock:
             pin = self._pins.get((service, session))
-        if pin is None or time.monotonic() - pin[1] > self.kept_s:
+        if pin is None or time.monotonic() - pin[1] > self.retention_s:
             return None
         return pin[0]
 
@@ -56,7 +56,7 @@
             return [
                 KeptSession(name, session, version, math.ceil(now - at))
                 for (name, session), (version, at) in self._pins.items()
-                if name == service and now - at <= self.kept_s
+                if name == service and now - at <= self.retention_s
             ]
 
     def receive(self, told: KeptSession) -> None:
@@ -69,13 +69,13 @@
                 self._pins[key] = (told.version, at)
 
     @property
-    def kept_s(self) -> float:
+    def retention_s(self) -> float:
         """Seconds for which a session is remembered."""
         return self.session_s() + MARGIN_S
 
     def prune(self) -> None:
         """Forget the sessions that ended."""
-        old = time.monotonic() - self.kept_s
+        old = time.monotonic() - self.retention_s
         with self._lock:
             for key in [k for k, pin in self._pins.items() if pin[1] < old]:
                 del self._pins[key]
--- a/lacewingdock/components/shifts/restored_orders.py
+++ b/lacewingdock/components/shifts/restored_orders.py
@@ -5,7 +5,7 @@
 from lacewingdock.world.backend import ShiftOrder
 
 
-class ReturnedOrders:
+class RestoredOrders:
     """Orders as the store's copy has them, until it has all again.
 
     The copy may show the order before the last one, or one without the end
@@ -36,17 +36,17 @@
         self.deferred.pop(service, None)
         self.unwritten.pop(service, None)
 
-    def settled(self) -> list[tuple[float, ShiftOrder]]:
+    def pop_deferred(self) -> list[tuple[float, ShiftOrder]]:
         """Return the orders that were left, with the seconds since."""
         now = time.monotonic()
         found, self.deferred = list(self.deferred.values()), {}
         return [(now - seen_at, order) for seen_at, order in found]
 
-    def write_end(self, service: str, after_s: float) -> None:
+    def schedule_end_write(self, service: str, after_s: float) -> None:
         """Have the end of a service's order written again after a while."""
         self.unwritten.setdefault(service, time.monotonic() + after_s)
 
-    def due(self) -> list[str]:
+    def due_writes(self) -> list[str]:
         """Return the services whose orders' ends are to be written now."""
         now = time.monotonic()
         return [name for name, at in self.unwritten.items() if at <= now]
--- a/lacewingdock/components/shifts/schedule.py
+++ b/lacewingdock/components/shifts/schedule.py
@@ -10,11 +10,11 @@
 
 from lacewingdock.components.shifts.const import (
     CANARY_PART,
-    LOADED_INSTANCES,
-    LOADED_LEAST_S,
-    LOADED_MOVE_S,
-    LOADED_PART,
-    LOADED_S,
+    FULL_LOAD_INSTANCES,
+    FULL_LOAD_MIN_S,
+    FULL_LOAD_MOVE_S,
+    FULL_LOAD_PART,
+    FULL_LOAD_S,
     MOVE_PART,
     RAMP_PART,
     RAMP_SHARE,
@@ -38,8 +38,8 @@
         move_at_s: Seconds after the order from which all requests move.
     """
 
-    load_at_s: float
-    loaded_share: float
+    full_load_at_s: float
+    full_load_share: float
     move_at_s: float
 
 
@@ -56,11 +56,13 @@
     bound_s = exposure_share * duration_s
     to_move_s = MOVE_PART * bound_s
     move_at_s = duration_s - to_move_s / _MOVING
-    share = LOADED_INSTANCES / max(instances, LOADED_INSTANCES)
-    loaded_s = min(LOADED_S, LOADED_PART * to_move_s / share)
-    loaded_at_s = move_at_s + loaded_s * share / _MOVING
-    load_at_s = max(loaded_at_s - loaded_s, SESSIONS_MOVE_PART * duration_s)
-    too_short = loaded_at_s - load_at_s < LOADED_LEAST_S
-    if too_short or duration_s - loaded_at_s < LOADED_MOVE_S:
+    share = FULL_LOAD_INSTANCES / max(instances, FULL_LOAD_INSTANCES)
+    full_load_s = min(FULL_LOAD_S, FULL_LOAD_PART * to_move_s / share)
+    full_load_until_s = move_at_s + full_load_s * share / _MOVING
+    full_load_at_s = max(
+        full_load_until_s - full_load_s, SESSIONS_MOVE_PART * duration_s
+    )
+    too_short = full_load_until_s - full_load_at_s < FULL_LOAD_MIN_S
+    if too_short or duration_s - full_load_until_s < FULL_LOAD_MOVE_S:
         return Schedule(move_at_s, CANARY_PART * exposure_share, move_at_s)
-    return Schedule(load_at_s, share, loaded_at_s)
+    return Schedule(full_load_at_s, share, full_load_until_s)
--- a/lacewingdock/components/shifts/shift.py
+++ b/lacewingdock/components/shifts/shift.py
@@ -11,7 +11,7 @@
     BAD_WEALTH,
     CANARY_PART,
     FORCE_BEFORE_S,
-    LOADED_INSTANCES,
+    FULL_LOAD_INSTANCES,
     MIN_ANSWERS,
     MIN_BAD,
     RAMP_PART,
@@ -20,8 +20,8 @@
 )
 from lacewingdock.components.shifts.evidence import (
     ChangeDetector,
-    Evidence,
-    tolerated,
+    VersionEvidence,
+    tolerated_share,
 )
 from lacewingdock.components.shifts.report import Report, Stage
 from lacewingdock.components.shifts.schedule import Schedule, schedule
@@ -32,7 +32,7 @@
 
 # A router that has just seen an order, or started, moves no session before it
 # could hear from the others which must stay.
-SETTLE_S: Final = 2 * REPEAT_S
+SESSION_WAIT_S: Final = 2 * REPEAT_S
 
 _BUCKETS: Final = 10_000
 # Draws that are remembered, for the sessions of some seconds: while a canary
@@ -95,8 +95,8 @@
         "evidence",
         "exposure_share",
         "found_bad",
+        "initial_age_s",
         "instances",
-        "known_s",
         "order",
         "plan",
         "reports",
@@ -110,9 +110,9 @@
         """Take an order that was just seen, and how old it may be."""
         self.order = order
         self.seen_at = since_boot()
-        self.known_s = age_s
+        self.initial_age_s = age_s
         self.stage = Stage.CANARY
-        self.evidence = Evidence()
+        self.evidence = VersionEvidence()
         self.detector = ChangeDetector()
         self.found_bad = ""
         self.reports: dict[str, tuple[float, Report]] = {}
@@ -123,7 +123,7 @@
     @property
     def elapsed_s(self) -> float:
         """Seconds since the order."""
-        return self.known_s + since_boot() - self.seen_at
+        return self.initial_age_s + since_boot() - self.seen_at
 
     @property
     def schedule(self) -> Schedule:
@@ -133,7 +133,7 @@
         )
 
     @property
-    def due(self) -> bool:
+    def deadline_reached(self) -> bool:
         """Whether the order must be completed, whatever still runs."""
         return self.elapsed_s >= self.order.duration_s - FORCE_BEFORE_S
 
@@ -150,63 +150,63 @@
         good ones came late, two slow answers of 214 made a good version
         suspect as its requests moved.
         """
-        if self.stage is not Stage.CANARY or self.loading:
+        if self.stage is not Stage.CANARY or self.at_full_load:
             return True
-        return self._sum("bad") > 0
+        return self._fleet_total("bad") > 0
 
-    def takes(self, call: Call) -> bool:
+    def moves(self, call: Call) -> bool:
         """Whether a request that is free to move goes to the new version.
 
         All routers agree on a session: they draw by its name.
         """
         if self.found_bad:
             return False
-        is_new = since_boot() < self.seen_at + SETTLE_S
+        is_new = since_boot() < self.seen_at + SESSION_WAIT_S
         if is_new and self.stage is Stage.CANARY:
             return False
-        return self.draws(call.session or call.id)
+        return self.selects(call.session or call.id)
 
-    def draws(self, name: str) -> bool:
+    def selects(self, name: str) -> bool:
         """Whether a session is among those that the new version gets."""
         bucket = _bucket(self.order.target, name)
         return bucket < self.share * _BUCKETS
 
     @property
-    def loading(self) -> bool:
+    def at_full_load(self) -> bool:
         """Whether a few instances get a whole instance's load each."""
         return self.plan is not None and self.stage is Stage.CANARY
 
     @property
     def keeps_sessions(self) -> bool:
         """Whether sessions on the old version stay there."""
-        return self.stage is Stage.CANARY and not self.loading
+        return self.stage is Stage.CANARY and not self.at_full_load
 
     @property
-    def loaded(self) -> frozenset[str]:
+    def full_load_instances(self) -> frozenset[str]:
         """The instances that get the new version's requests; empty for all.
 
         All routers choose the same ones, or each would get a part of the load.
         """
-        if not self.loading:
+        if not self.at_full_load:
             return frozenset()
         ranked = sorted(
             self.instances, key=lambda one: _bucket(self.order.target, one)
         )
-        return frozenset(ranked[:LOADED_INSTANCES])
+        return frozenset(ranked[:FULL_LOAD_INSTANCES])
 
     @property
     def share(self) -> float:
         """Share of the sessions that the new version gets."""
         match self.stage:
-            case Stage.CANARY if self.loading:
-                return self.schedule.loaded_share
+            case Stage.CANARY if self.at_full_load:
+                return self.schedule.full_load_share
             case Stage.CANARY:
                 return self.exposure_share * CANARY_PART
             case Stage.RAMP:
                 return RAMP_SHARE
         return 1.0
 
-    def take_report(self, report: Report) -> None:
+    def apply_report(self, report: Report) -> None:
         """Take another router's report.
 
         The store's copy may show an older one; as that of a router that is
@@ -220,7 +220,7 @@
         ahead = report.elapsed_s - self.elapsed_s
         if ahead > 0:
             # It saw the order earlier: this router started since.
-            self.known_s += ahead
+            self.initial_age_s += ahead
 
     def live_reports(self, lost_s: float) -> list[Report]:
         """Return the reports of routers that live.
@@ -231,7 +231,7 @@
         since = time.monotonic() - lost_s
         return [report for at, report in self.reports.values() if at >= since]
 
-    def hear_bad(self, router: str) -> None:
+    def mark_bad(self, router: str) -> None:
         """Take another router's word that the version is bad."""
         if self.found_bad:
             return
@@ -249,11 +249,11 @@
         if self.found_bad:
             return
         self._judge()
-        stage = self._due()
+        stage = self._target_stage()
         if self.found_bad:
             return
-        if self._load_is_due():
-            self._load()
+        if self._full_load_is_due():
+            self._start_full_load()
         if stage <= self.stage:
             return
         self.stage = Stage(self.stage + 1)
@@ -263,12 +263,12 @@
             target=self.order.target,
             stage=self.stage.name,
             elapsed_s=round(self.elapsed_s, 2),
-            answers=self._sum("answers"),
-            bad=self._sum("bad"),
+            answers=self._fleet_total("answers"),
+            bad=self._fleet_total("bad"),
         )
 
-    def _due(self) -> Stage:
-        if self._sum("answers") < MIN_ANSWERS or self.suspect:
+    def _target_stage(self) -> Stage:
+        if self._fleet_total("answers") < MIN_ANSWERS or self.suspect:
             return self.stage
         move_at_s = self.schedule.move_at_s
         if self.elapsed_s < move_at_s:
@@ -277,30 +277,30 @@
         ramp_s = RAMP_PART * (self.order.duration_s - move_at_s)
         return Stage.RAMP if moved_s < ramp_s else Stage.ALL
 
-    def _load_is_due(self) -> bool:
+    def _full_load_is_due(self) -> bool:
         """Whether a few instances shall get a whole instance's load now."""
         if self.plan or self.stage is not Stage.CANARY or self.suspect:
             return False
-        if self._sum("answers") < MIN_ANSWERS:
+        if self._fleet_total("answers") < MIN_ANSWERS:
             return False
         plan = self.schedule
-        return plan.load_at_s <= self.elapsed_s < plan.move_at_s
+        return plan.full_load_at_s <= self.elapsed_s < plan.move_at_s
 
-    def _load(self) -> None:
+    def _start_full_load(self) -> None:
         self.plan = self.schedule
         log.info(
             "roll-out loads instances",
             service=self.order.service,
             target=self.order.target,
-            instances=sorted(self.loaded),
+            instances=sorted(self.full_load_instances),
             share=round(self.share, 3),
             elapsed_s=round(self.elapsed_s, 2),
         )
 
     def _judge(self) -> None:
-        answers, bad = self._sum("answers"), self._sum("bad")
-        level = tolerated(self.evidence.control)
-        self.detector.see(answers, bad, level)
+        answers, bad = self._fleet_total("answers"), self._fleet_total("bad")
+        level = tolerated_share(self.evidence.control)
+        self.detector.update(answers, bad, level)
         instances = set(self.evidence.bad_instances)
         by_report = False
         for _, report in self.reports.values():
@@ -312,7 +312,7 @@
             self.found_bad = "another router's report"
         elif wealth >= BAD_WEALTH and bad >= MIN_BAD:
             self.found_bad = "answers"
-        elif wealth >= SUSPECT_WEALTH and self.due:
+        elif wealth >= SUSPECT_WEALTH and self.deadline_reached:
             self.found_bad = "suspect at the deadline"
         else:
             return
@@ -329,7 +329,7 @@
             elapsed_s=round(self.elapsed_s, 2),
         )
 
-    def _sum(self, name: str) -> int:
+    def _fleet_total(self, name: str) -> int:
         """Add a count up over all routers, those that are gone too."""
         reports = (report for _, report in self.reports.values())
         own = int(getattr(self.evidence, name))
--- a/lacewingdock/components/suspects/__init__.py
+++ b/lacewingdock/components/suspects/__init__.py
@@ -17,19 +17,23 @@
 from lacewingdock.components.suspects.address_check import AddressCheck
 from lacewingdock.components.suspects.const import (
     CRASHES_TO_HOLD,
-    FORGET_S,
     HOLD_S,
+    IN_FLIGHT_CRASH_S,
     MAX_HOLD_S,
     MAX_LOGGED,
+    MAX_PUBLISHED,
     MAX_SUSPECTS,
-    MAX_TOLD,
-    SETTLE_S,
-    TELL_AFTER_S,
-    TELL_EVERY_S,
-    TELL_PAUSE_S,
+    PUBLISH_AFTER_S,
+    PUBLISH_EVERY_S,
+    PUBLISH_PAUSE_S,
+    SUSPECT_EXPIRY_S,
     TRIAL_S,
 )
-from lacewingdock.components.suspects.crash_verdict import Fate, Look, fate_of
+from lacewingdock.components.suspects.crash_verdict import (
+    CrashVerdict,
+    Responder,
+    judge_crash,
+)
 from lacewingdock.components.suspects.decision import Decision
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import Instance
@@ -40,18 +44,18 @@
 # Instances at which requests were lost, by the requests' fingerprints.
 Losses = dict[str, list[str]]
 
-_MET: Final = {
-    Look.ITSELF: Decision.MET_ITSELF,
-    Look.ANOTHER: Decision.MET_ANOTHER,
-    Look.NOTHING: Decision.MET_NOTHING,
-    Look.UNCLEAR: Decision.MET_UNCLEAR,
+_DECISION_BY_RESPONDER: Final = {
+    Responder.ITSELF: Decision.MET_ITSELF,
+    Responder.ANOTHER: Decision.MET_ANOTHER,
+    Responder.NOTHING: Decision.MET_NOTHING,
+    Responder.UNCLEAR: Decision.MET_UNCLEAR,
 }
 
 log = get_logger("suspects")
 
 
 @dataclass(slots=True)
-class Suspect:
+class SuspectRequest:
     """A request that was lost and not answered since.
 
     Attributes:
@@ -65,26 +69,29 @@
         trial: Id of the request that passed as a trial last.
     """
 
-    own: dict[str, float] = field(default_factory=dict)
-    told: dict[str, float] = field(default_factory=dict)
+    own_losses: dict[str, float] = field(default_factory=dict)
+    peer_losses: dict[str, float] = field(default_factory=dict)
     hold_s: float = HOLD_S
     held_at: float = 0.0
     held_until: float = 0.0
     crashes: int = 0
     trial: str = ""
 
-    def told_up_to(self, now: float) -> float:
+    def publishable_until(self, now: float) -> float:
         """Return the monotonic time up to which its losses are told.
 
         One that was lost at several instances won't be answered at the next.
         """
-        losses = len(self.own.keys() | self.told.keys())
-        return now if losses > 1 else now - TELL_AFTER_S
+        losses = len(self.own_losses.keys() | self.peer_losses.keys())
+        return now if losses > 1 else now - PUBLISH_AFTER_S
 
     @property
-    def newest(self) -> float:
+    def newest_loss_at(self) -> float:
         """Monotonic time of the last loss; long ago where none is left."""
-        return max([*self.own.values(), *self.told.values()], default=-math.inf)
+        return max(
+            [*self.own_losses.values(), *self.peer_losses.values()],
+            default=-math.inf,
+        )
 
 
 class PoisonRequests:
@@ -104,34 +111,34 @@
 
     __slots__ = (
         "_lock",
+        "check_address",
         "counts",
         "directory",
-        "due",
-        "heard",
         "publish",
+        "publish_due",
+        "published",
         "random",
-        "reach",
+        "received",
         "suspects",
-        "told",
     )
 
     def __init__(
         self,
         directory: Directory,
         publish: Callable[[Losses], bool],
-        reach: Callable[[Instance], AddressCheck],
+        check_address: Callable[[Instance], AddressCheck],
         source: random.Random,
     ) -> None:
         """Start without suspects."""
         self.directory = directory
         self.publish = publish
-        self.reach = reach
+        self.check_address = check_address
         self.random = source
-        self.suspects: dict[str, Suspect] = {}
-        self.heard: dict[str, Losses] = {}
-        self.told: Losses = {}
+        self.suspects: dict[str, SuspectRequest] = {}
+        self.received: dict[str, Losses] = {}
+        self.published: Losses = {}
         self.counts: Counter[str] = Counter()
-        self.due = threading.Event()
+        self.publish_due = threading.Event()
         self._lock = threading.Lock()
 
     def holds(self, call: Call, workspace: str) -> bool:
@@ -147,8 +154,8 @@
             suspect = self.suspects.get(fingerprint)
             if suspect is None:
                 return False
-            if not self._judge(fingerprint, suspect):
-                self._let_through(call, fingerprint, suspect)
+            if not self._update_hold(fingerprint, suspect):
+                self._record_let_through(call, fingerprint, suspect)
                 return False
             now = time.monotonic()
             if now < suspect.held_until:
@@ -172,14 +179,14 @@
             suspect = self.suspects.get(fingerprint)
             if suspect is None or suspect.trial == call.id:
                 return False
-            if not self._judge(fingerprint, suspect):
+            if not self._update_hold(fingerprint, suspect):
                 return False
             self.counts[Decision.STOPPED] += 1
         log.info("suspect stopped", request=call.id, fingerprint=fingerprint)
         return True
 
-    def _let_through(
-        self, call: Call, fingerprint: str, suspect: Suspect
+    def _record_let_through(
+        self, call: Call, fingerprint: str, suspect: SuspectRequest
     ) -> None:
         """Tell that a request goes on that was lost before, and why."""
         self.counts[Decision.LET_THROUGH] += 1
@@ -187,9 +194,9 @@
             "suspect let through",
             request=call.id,
             fingerprint=fingerprint,
-            own=sorted(suspect.own),
-            told=sorted(suspect.told),
-            crashed=self._crashed(suspect.own),
+            own=sorted(suspect.own_losses),
+            told=sorted(suspect.peer_losses),
+            crashed=self._crashed(suspect.own_losses),
         )
 
     def lost(self, call: Call, workspace: str, instance: str) -> bool:
@@ -206,9 +213,9 @@
         fingerprint = fingerprint_of(call, workspace)
         with self._lock:
             suspect = self._suspect(fingerprint)
-            suspect.own[instance] = time.monotonic()
-            own = dict(suspect.own)
-            known = len(own.keys() | suspect.told.keys())
+            suspect.own_losses[instance] = time.monotonic()
+            own = dict(suspect.own_losses)
+            known = len(own.keys() | suspect.peer_losses.keys())
             self.counts[Decision.NOTED] += 1
         log.info(
             "loss",
@@ -219,9 +226,9 @@
         )
         if known > 1:
             self._verify(own.items())
-            self.due.set()
+            self.publish_due.set()
         with self._lock:
-            return self._judge(fingerprint, suspect)
+            return self._update_hold(fingerprint, suspect)
 
     def passed_over(self, call: Call, instance: str, why: Decision) -> None:
         """Tell of an attempt that broke and does not count as a loss."""
@@ -244,23 +251,23 @@
             "suspect cleared",
             request=call.id,
             fingerprint=fingerprint,
-            own=sorted(found.own),
-            told=sorted(found.told),
+            own=sorted(found.own_losses),
+            told=sorted(found.peer_losses),
         )
 
     def receive(self, router: str, losses: Losses) -> None:
         """Take what another router told; only what is new in it counts."""
         with self._lock:
-            before = self.heard.pop(router, {})
+            before = self.received.pop(router, {})
             if losses:
-                self.heard[router] = losses
+                self.received[router] = losses
             heard: list[str] = []
             for fingerprint, instances in losses.items():
                 new = set(instances) - set(before.get(fingerprint, ()))
                 if new:
                     suspect = self._suspect(fingerprint)
-                    suspect.told |= dict.fromkeys(new, time.monotonic())
-                    self._judge(fingerprint, suspect)
+                    suspect.peer_losses |= dict.fromkeys(new, time.monotonic())
+                    self._update_hold(fingerprint, suspect)
                     heard.append(fingerprint)
             self.counts[Decision.HEARD] += len(heard)
         if heard:
@@ -282,16 +289,16 @@
         now = time.monotonic()
         with self._lock:
             for fingerprint, instances in losses.items():
-                own = self._suspect(fingerprint).own
+                own = self._suspect(fingerprint).own_losses
                 for name in instances:
                     own.setdefault(name, now)
         log.info("losses recovered", requests=len(losses))
 
     def run(self, stopping: threading.Event) -> None:
         """Look for what is to be forgotten and told until the daemon stops."""
-        while not stopping.wait(TELL_PAUSE_S):
-            self.due.wait(TELL_EVERY_S - TELL_PAUSE_S)
-            self.due.clear()
+        while not stopping.wait(PUBLISH_PAUSE_S):
+            self.publish_due.wait(PUBLISH_EVERY_S - PUBLISH_PAUSE_S)
+            self.publish_due.clear()
             try:
                 self.round()
             except Exception:
@@ -303,25 +310,25 @@
         now = time.monotonic()
         with self._lock:
             for fingerprint, suspect in list(self.suspects.items()):
-                self._drop_proved(suspect)
-                if now - suspect.newest > FORGET_S:
+                self._drop_survived(suspect)
+                if now - suspect.newest_loss_at > SUSPECT_EXPIRY_S:
                     del self.suspects[fingerprint]
             losses = [
                 loss
                 for suspect in self.suspects.values()
-                for loss in suspect.own.items()
-                if loss[1] <= suspect.told_up_to(now)
+                for loss in suspect.own_losses.items()
+                if loss[1] <= suspect.publishable_until(now)
             ]
         self._verify(losses)
         with self._lock:
             found = {
                 fingerprint: instances
                 for fingerprint, suspect in self.suspects.items()
-                if (instances := self._told_of(suspect, now))
+                if (instances := self._publishable_crashes(suspect, now))
             }
-        newest = dict(list(found.items())[-MAX_TOLD:])
-        if self._is_news(newest) and self.publish(newest):
-            self.told = newest
+        newest = dict(list(found.items())[-MAX_PUBLISHED:])
+        if self._has_unpublished(newest) and self.publish(newest):
+            self.published = newest
 
     def held(self) -> int:
         """Return how many requests are held back."""
@@ -331,16 +338,16 @@
 
     def republish(self) -> None:
         """Tell the others all that counts, since the store may have lost it."""
-        self.told = {}
+        self.published = {}
 
-    def _is_news(self, losses: Losses) -> bool:
+    def _has_unpublished(self, losses: Losses) -> bool:
         """Whether losses hold more than what was told.
 
         What was answered since is left out when there is other news: a call
         for it alone would cost as much and change nothing.
         """
         return any(
-            set(instances) - set(self.told.get(fingerprint, ()))
+            set(instances) - set(self.published.get(fingerprint, ()))
             for fingerprint, instances in losses.items()
         )
 
@@ -355,50 +362,50 @@
         """
         for name, lost_at in losses:
             instance = self.directory.incarnation(name)
-            if fate_of(instance, lost_at) is not Fate.UNKNOWN:
+            if judge_crash(instance, lost_at) is not CrashVerdict.UNKNOWN:
                 continue
             if instance is not None:
-                look = self._look(instance)
+                responder = self._check_address(instance)
                 log.info(
                     "loss verified",
                     upstream=name,
-                    answers=look,
+                    answers=responder,
                     lost_s=round(time.monotonic() - lost_at, 3),
                 )
 
-    def _look(self, instance: Instance) -> Look:
+    def _check_address(self, instance: Instance) -> Responder:
         """Ask at an instance's address, and take what that shows of it."""
         asked_at = time.monotonic()
-        found = self.reach(instance)
-        match found.look:
-            case Look.ITSELF:
+        found = self.check_address(instance)
+        match found.responder:
+            case Responder.ITSELF:
                 instance.answered(asked_at)
-            case Look.ANOTHER:
+            case Responder.ANOTHER:
                 self.directory.answered_by_other(instance, found.answered_by)
-            case Look.NOTHING:
+            case Responder.NOTHING:
                 instance.took_no_connection()
-        self.counts[_MET[found.look]] += 1
-        return found.look
+        self.counts[_DECISION_BY_RESPONDER[found.responder]] += 1
+        return found.responder
 
-    def _drop_proved(self, suspect: Suspect) -> None:
+    def _drop_survived(self, suspect: SuspectRequest) -> None:
         """Drop losses at instances that lived on.
 
         They would count as crashes once these leave, as planned.
         """
-        for losses in (suspect.own, suspect.told):
+        for losses in (suspect.own_losses, suspect.peer_losses):
             for name, lost_at in list(losses.items()):
-                if self._fate(name, lost_at) is Fate.PROVED:
+                if self._crash_verdict(name, lost_at) is CrashVerdict.SURVIVED:
                     del losses[name]
 
-    def _suspect(self, fingerprint: str) -> Suspect:
+    def _suspect(self, fingerprint: str) -> SuspectRequest:
         """Return the record of a request, as the newest one."""
-        suspect = self.suspects.pop(fingerprint, None) or Suspect()
+        suspect = self.suspects.pop(fingerprint, None) or SuspectRequest()
         self.suspects[fingerprint] = suspect
         while len(self.suspects) > MAX_SUSPECTS:
             del self.suspects[next(iter(self.suspects))]
         return suspect
 
-    def _judge(self, fingerprint: str, suspect: Suspect) -> bool:
+    def _update_hold(self, fingerprint: str, suspect: SuspectRequest) -> bool:
         """Hold a request back, or for longer, as crashes come to be known.
 
         It goes by what is known now: a loss may turn out to be a crash long
@@ -412,17 +419,17 @@
         if crashes < CRASHES_TO_HOLD:
             return False
         if grown:
-            self._hold(fingerprint, suspect)
+            self._start_hold(fingerprint, suspect)
         return True
 
-    def _hold(self, fingerprint: str, suspect: Suspect) -> None:
+    def _start_hold(self, fingerprint: str, suspect: SuspectRequest) -> None:
         """Hold a request back from now on.
 
         A crash long after the one that it is held for is a trial's, here or at
         another router: the next trial comes later.
         """
         now = time.monotonic()
-        if now >= suspect.held_at + SETTLE_S:
+        if now >= suspect.held_at + IN_FLIGHT_CRASH_S:
             if suspect.held_at:
                 suspect.hold_s = min(2 * suspect.hold_s, MAX_HOLD_S)
             suspect.held_at = now
@@ -433,23 +440,25 @@
         log.warning(
             "request held back",
             fingerprint=fingerprint,
-            own=sorted(suspect.own),
-            told=sorted(suspect.told),
+            own=sorted(suspect.own_losses),
+            told=sorted(suspect.peer_losses),
             hold_s=round(hold_s, 1),
         )
 
-    def _crashes(self, suspect: Suspect) -> set[str]:
+    def _crashes(self, suspect: SuspectRequest) -> set[str]:
         """Return the instances that crashed; tellers saw that theirs did."""
         told = {
             name
-            for name, heard_at in suspect.told.items()
-            if not self._shows_life(name, heard_at)
+            for name, heard_at in suspect.peer_losses.items()
+            if not self._seems_alive(name, heard_at)
         }
-        return told.union(self._crashed(suspect.own))
+        return told.union(self._crashed(suspect.own_losses))
 
-    def _told_of(self, suspect: Suspect, now: float) -> list[str]:
+    def _publishable_crashes(
+        self, suspect: SuspectRequest, now: float
+    ) -> list[str]:
         """Return the crashed instances that the others are to know of."""
-        return self._crashed(suspect.own, suspect.told_up_to(now))
+        return self._crashed(suspect.own_losses, suspect.publishable_until(now))
 
     def _crashed(
         self, losses: dict[str, float], before: float = math.inf
@@ -468,13 +477,16 @@
 
     def _has_crashed(self, name: str, lost_at: float) -> bool:
         """Whether a start crashed when it lost a request."""
-        return self._fate(name, lost_at) is Fate.CRASHED
+        return self._crash_verdict(name, lost_at) is CrashVerdict.CRASHED
 
-    def _shows_life(self, name: str, since: float) -> bool:
-        return self._fate(name, since) in (Fate.PROVED, Fate.LIVES)
+    def _seems_alive(self, name: str, since: float) -> bool:
+        return self._crash_verdict(name, since) in (
+            CrashVerdict.SURVIVED,
+            CrashVerdict.LIKELY_ALIVE,
+        )
 
-    def _fate(self, name: str, lost_at: float) -> Fate:
-        return fate_of(self.directory.incarnation(name), lost_at)
+    def _crash_verdict(self, name: str, lost_at: float) -> CrashVerdict:
+        return judge_crash(self.directory.incarnation(name), lost_at)
 
 
 def fingerprint_of(call: Call, workspace: str) -> str:
--- a/lacewingdock/components/suspects/address_check.py
+++ b/lacewingdock/components/suspects/address_check.py
@@ -3,8 +3,8 @@
 import time
 from dataclasses import dataclass
 
-from lacewingdock.components.suspects.const import REACH_S
-from lacewingdock.components.suspects.crash_verdict import Look
+from lacewingdock.components.suspects.const import ADDRESS_CHECK_TIMEOUT_S
+from lacewingdock.components.suspects.crash_verdict import Responder
 from lacewingdock.components.upstreams.connection import (
     TimedOut,
     UpstreamConnection,
@@ -25,7 +25,7 @@
         answered_by: Id of the other instance, where it said it.
     """
 
-    look: Look
+    responder: Responder
     answered_by: str = ""
 
 
@@ -36,24 +36,24 @@
         entry: The start that is asked for.
         path: Path of a question that needs no right to be run.
     """
-    until = time.monotonic() + REACH_S
+    until = time.monotonic() + ADDRESS_CHECK_TIMEOUT_S
     try:
-        sock = connect(entry.host, entry.port, REACH_S)
+        sock = connect(entry.host, entry.port, ADDRESS_CHECK_TIMEOUT_S)
     except UpstreamLost:
-        return AddressCheck(Look.NOTHING)
+        return AddressCheck(Responder.NOTHING)
     connection = UpstreamConnection(sock, 0.0)
     try:
         left_s = until - time.monotonic()
         headers = question_headers(entry.host, entry.id)
         connection.send("", b"GET", path.encode(), headers, b"", left_s)
-        return _found(connection.read_head(until), entry)
+        return _identify_responder(connection.read_head(until), entry)
     except (UpstreamLost, TimedOut):
-        return AddressCheck(Look.UNCLEAR)
+        return AddressCheck(Responder.UNCLEAR)
     finally:
         connection.close()
 
 
-def _found(head: AnswerHead, entry: UpstreamEntry) -> AddressCheck:
+def _identify_responder(head: AnswerHead, entry: UpstreamEntry) -> AddressCheck:
     if head.is_by_other(entry.id):
-        return AddressCheck(Look.ANOTHER, head.instance)
-    return AddressCheck(Look.ITSELF)
+        return AddressCheck(Responder.ANOTHER, head.instance)
+    return AddressCheck(Responder.ITSELF)
--- a/lacewingdock/components/suspects/crash_verdict.py
+++ b/lacewingdock/components/suspects/crash_verdict.py
@@ -7,11 +7,11 @@
 
 from enum import StrEnum
 
-from lacewingdock.components.suspects.const import LIFE_MARGIN_S
+from lacewingdock.components.suspects.const import LATE_READ_MARGIN_S
 from lacewingdock.components.upstreams.instance import Instance
 
 
-class Look(StrEnum):
+class Responder(StrEnum):
     """What a question at an instance's address met.
 
     Attributes:
@@ -27,7 +27,7 @@
     UNCLEAR = "unclear"
 
 
-class Fate(StrEnum):
+class CrashVerdict(StrEnum):
     """What became of an instance that lost a request.
 
     Attributes:
@@ -38,13 +38,13 @@
         UNKNOWN: Nothing shows either.
     """
 
-    PROVED = "proved"
-    LIVES = "lives"
+    SURVIVED = "proved"
+    LIKELY_ALIVE = "lives"
     CRASHED = "crashed"
     UNKNOWN = "unknown"
 
 
-def fate_of(instance: Instance | None, lost_at: float) -> Fate:
+def judge_crash(instance: Instance | None, lost_at: float) -> CrashVerdict:
     """Return what became of an instance.
 
     Args:
@@ -52,11 +52,11 @@
         lost_at: Monotonic time at which the loss was noted.
     """
     if instance is None:
-        return Fate.CRASHED
+        return CrashVerdict.CRASHED
     if instance.answered_at >= lost_at:
-        return Fate.PROVED
+        return CrashVerdict.SURVIVED
     has_failed = instance.unreached_at >= lost_at
-    was_heard = instance.heard_at > lost_at + LIFE_MARGIN_S
+    was_heard = instance.heard_at > lost_at + LATE_READ_MARGIN_S
     if was_heard and instance.heard_at > instance.unreached_at:
-        return Fate.LIVES
-    return Fate.CRASHED if has_failed else Fate.UNKNOWN
+        return CrashVerdict.LIKELY_ALIVE
+    return CrashVerdict.CRASHED if has_failed else CrashVerdict.UNKNOWN
--- a/tests/components/shifts/fakes.py
+++ b/tests/components/shifts/fakes.py
@@ -87,7 +87,7 @@
     """Let a router see the order and all reports."""
     shifts.take(store.order)
     for stored in store.reports.values():
-        shifts.take_report(
+        shifts.apply_report(
             Report(**{**stored.spec, "stage": Stage(stored.spec["stage"])})
         )
 
--- a/tests/components/shifts/test_gossip.py
+++ b/tests/components/shifts/test_gossip.py
@@ -2,7 +2,7 @@
 
 from lacewingdock.components.gossip import KeptSession, Message
 from lacewingdock.components.shifts.pins import SessionPins
-from lacewingdock.components.shifts.shift import SETTLE_S
+from lacewingdock.components.shifts.shift import SESSION_WAIT_S
 from tests.components.shifts.fakes import (
     Store,
     call,
@@ -22,12 +22,12 @@
     """
     first, second = router(Store()), router(Store())
     drawn = [
-        f"s-{n}" for n in range(400) if first.running["svc"].draws(f"s-{n}")
+        f"s-{n}" for n in range(400) if first.running["svc"].selects(f"s-{n}")
     ]
     assert drawn
     for name in [*drawn, "another"]:
-        first.pins.keep("svc", name, "v1")
-    clock.now += SETTLE_S
+        first.pins.pin("svc", name, "v1")
+    clock.now += SESSION_WAIT_S
     told = first.sessions_to_keep()
     assert {one.session for one in told} == set(drawn)
     second.receive_message(Message("r-1", 1, 1, [], told))
@@ -40,15 +40,15 @@
 def test_router_waits_for_the_others_before_it_moves_a_session(clock):
     shifts = router(Store())
     shift = shifts.running["svc"]
-    drawn = next(f"s-{n}" for n in range(999) if shift.draws(f"s-{n}"))
+    drawn = next(f"s-{n}" for n in range(999) if shift.selects(f"s-{n}"))
     assert not shifts.version("svc", call(1, drawn)).allows("v2")
-    clock.now += SETTLE_S
+    clock.now += SESSION_WAIT_S
     assert shifts.version("svc", call(1, drawn)).allows("v2")
 
 
 def test_heard_session_is_not_younger_than_the_own_one():
     shifts = router(Store())
-    shifts.pins.keep("svc", "s", "v2")
+    shifts.pins.pin("svc", "s", "v2")
     shifts.pins.receive(KeptSession("svc", "s", "v1", 3))
     assert shifts.pins.version("svc", "s") == "v2"
 
@@ -60,7 +60,7 @@
     three seconds behind. Cause: only the reports told it.
     """
     first, second = router(Store()), router(Store())
-    clock.now += SETTLE_S
+    clock.now += SESSION_WAIT_S
     assert share_of_new(second) > 0
     first.running["svc"].found_bad = "answers"
     bad = first.found_bad()
@@ -84,7 +84,7 @@
         "lacewingdock.components.shifts.pins.time.monotonic", lambda: now[0]
     )
     pins = [SessionPins(lambda: 5.0) for _ in range(2)]
-    pins[0].keep("svc", "s", "v1")
+    pins[0].pin("svc", "s", "v1")
     for turn in range(40):
         now[0] += 0.33
         for one in pins[turn % 2].of_service("svc"):
--- a/tests/components/shifts/test_limited_instances.py
+++ b/tests/components/shifts/test_limited_instances.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lacewingdock.components.shifts.shift import SETTLE_S
+from lacewingdock.components.shifts.shift import SESSION_WAIT_S
 from tests.components.shifts.fakes import Store, call, router
 
 
@@ -25,8 +25,8 @@
     """
     shifts = router(Store())
     shift = shifts.running["svc"]
-    drawn = next(f"s-{n}" for n in range(999) if shift.draws(f"s-{n}"))
-    clock.now += SETTLE_S
+    drawn = next(f"s-{n}" for n in range(999) if shift.selects(f"s-{n}"))
+    clock.now += SESSION_WAIT_S
     shifts.admits = taking.__contains__
     found = shifts.version("svc", call(1, drawn))
     assert found.allows("v2") is goes_to_new
@@ -35,7 +35,7 @@
 
 def test_session_that_is_on_the_new_version_stays_there(clock):
     shifts = router(Store())
-    clock.now += SETTLE_S
+    clock.now += SESSION_WAIT_S
     shifts.admits = lambda _: False
-    shifts.pins.keep("svc", "s", "v2")
+    shifts.pins.pin("svc", "s", "v2")
     assert not shifts.version("svc", call(1, "s")).allows("v1")
--- a/tests/components/shifts/test_restored_orders.py
+++ b/tests/components/shifts/test_restored_orders.py
@@ -154,7 +154,7 @@
     store = Store()
     shifts = router(store)
     shift = shifts.running["svc"]
-    shift.take_report(Report("svc", "v2", "r-2", "a", 9.0, Stage.ALL))
+    shift.apply_report(Report("svc", "v2", "r-2", "a", 9.0, Stage.ALL))
     older = Report("svc", "v2", "r-2", incarnation, 4.0, Stage.CANARY)
-    shift.take_report(older)
+    shift.apply_report(older)
     assert [one.stage for one in shift.live_reports(5.0)] == [stage]
--- a/tests/components/shifts/test_schedule.py
+++ b/tests/components/shifts/test_schedule.py
@@ -4,7 +4,7 @@
 
 from lacewingdock.components.shifts.const import (
     CANARY_PART,
-    LOADED_LEAST_S,
+    FULL_LOAD_MIN_S,
     RAMP_PART,
     RAMP_SHARE,
     SESSIONS_MOVE_PART,
@@ -22,12 +22,12 @@
 def test_all_of_it_is_under_the_bound(duration_s, exposure, instances):
     """A version that turns bad at any moment had no more than it may."""
     plan = schedule(duration_s, exposure, instances)
-    canary = plan.load_at_s * exposure * CANARY_PART
-    loaded = (plan.move_at_s - plan.load_at_s) * plan.loaded_share
+    canary = plan.full_load_at_s * exposure * CANARY_PART
+    loaded = (plan.move_at_s - plan.full_load_at_s) * plan.full_load_share
     moved = duration_s - plan.move_at_s
     moved *= RAMP_PART * RAMP_SHARE + 1.0 - RAMP_PART
     assert canary + loaded + moved <= exposure * duration_s
-    assert plan.load_at_s <= plan.move_at_s <= duration_s
+    assert plan.full_load_at_s <= plan.move_at_s <= duration_s
 
 
 @pytest.mark.parametrize(
@@ -45,6 +45,6 @@
     duration_s, exposure, instances, loads
 ):
     plan = schedule(duration_s, exposure, instances)
-    loaded_s = plan.move_at_s - plan.load_at_s
-    assert loaded_s >= LOADED_LEAST_S if loads else loaded_s == 0
-    assert not loads or plan.load_at_s >= SESSIONS_MOVE_PART * duration_s
+    full_load_s = plan.move_at_s - plan.full_load_at_s
+    assert full_load_s >= FULL_LOAD_MIN_S if loads else full_load_s == 0
+    assert not loads or plan.full_load_at_s >= SESSIONS_MOVE_PART * duration_s
--- a/tests/components/shifts/test_shift.py
+++ b/tests/components/shifts/test_shift.py
@@ -78,7 +78,7 @@
 def test_session_keeps_its_version_in_the_first_half(clock, stage):
     shifts = router(Store())
     for n in range(200):
-        shifts.pins.keep("svc", f"s-{n}", "v1")
+        shifts.pins.pin("svc", f"s-{n}", "v1")
     shifts.running["svc"].stage = stage
     moved = sum(
         shifts.version("svc", call(n, f"s-{n}")).allows("v2")
@@ -89,7 +89,7 @@
 
 def test_session_on_the_new_version_stays_there(clock):
     shifts = router(Store())
-    shifts.pins.keep("svc", "s", "v2")
+    shifts.pins.pin("svc", "s", "v2")
     rules = [shifts.version("svc", call(n, "s")) for n in range(50)]
     assert all(rule.allows("v2") and not rule.allows("v1") for rule in rules)
 
@@ -329,7 +329,7 @@
     shifts.reporter.pace_s = lambda: max(2.0, routers / 80)
     now = time.monotonic()
     report = Report("svc", "v2", "r-2", "r-2-inc", old_running=3)
-    shifts.take_report(report)
+    shifts.apply_report(report)
     monkeypatch.setattr(time, "monotonic", lambda: now + age_s)
     found = shifts.live_reports(shifts.running["svc"])
     assert bool(found) is lives
@@ -432,4 +432,4 @@
     shift = shifts.running["svc"]
     assert shift.elapsed_s == pytest.approx(age_s)
     clock.now += DURATION_S - FORCE_BEFORE_S - age_s
-    assert shift.due
+    assert shift.deadline_reached
--- a/tests/components/suspects/fleet.py
+++ b/tests/components/suspects/fleet.py
@@ -5,7 +5,7 @@
 
 from lacewingdock.components.suspects import PoisonRequests
 from lacewingdock.components.suspects.address_check import AddressCheck
-from lacewingdock.components.suspects.crash_verdict import Look
+from lacewingdock.components.suspects.crash_verdict import Responder
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.world.backend import UpstreamEntry
 from lacewingdock.world.call import Call
@@ -50,9 +50,9 @@
     def reach(self, instance):
         """Ask an instance: crashed ones take no connection."""
         if instance.entry.id in self.unclear:
-            return AddressCheck(Look.UNCLEAR)
+            return AddressCheck(Responder.UNCLEAR)
         alive = instance.entry.id in self.alive
-        return AddressCheck(Look.ITSELF if alive else Look.NOTHING)
+        return AddressCheck(Responder.ITSELF if alive else Responder.NOTHING)
 
     def publish(self, number, losses):
         """Take what one router tells to all others."""
@@ -65,8 +65,8 @@
     def round(self, only_due=False):
         """Let all routers tell, or those that have something to tell now."""
         for router in self.routers:
-            if router.due.is_set() or not only_due:
-                router.due.clear()
+            if router.publish_due.is_set() or not only_due:
+                router.publish_due.clear()
                 router.round()
 
 
--- a/tests/components/suspects/test_address_check.py
+++ b/tests/components/suspects/test_address_check.py
@@ -9,7 +9,7 @@
     AddressCheck,
     check_address,
 )
-from lacewingdock.components.suspects.crash_verdict import Look
+from lacewingdock.components.suspects.crash_verdict import Responder
 from tests.components.gateway.fakes import Upstream
 
 
@@ -38,22 +38,25 @@
 @pytest.mark.parametrize(
     ("reply", "found"),
     [
-        (says(b"200 OK", b"Instance-Id: i-1"), AddressCheck(Look.ITSELF)),
-        (says(b"503 Draining", b"Instance-Id: i-1"), AddressCheck(Look.ITSELF)),
-        (says(b"503 Full", b"Not-Executed: 1"), AddressCheck(Look.ITSELF)),
-        (says(b"404 Not Found"), AddressCheck(Look.ITSELF)),
+        (says(b"200 OK", b"Instance-Id: i-1"), AddressCheck(Responder.ITSELF)),
+        (
+            says(b"503 Draining", b"Instance-Id: i-1"),
+            AddressCheck(Responder.ITSELF),
+        ),
+        (says(b"503 Full", b"Not-Executed: 1"), AddressCheck(Responder.ITSELF)),
+        (says(b"404 Not Found"), AddressCheck(Responder.ITSELF)),
         (
             says(b"421 Misdirected", b"Instance-Id: i-2"),
-            AddressCheck(Look.ANOTHER, "i-2"),
+            AddressCheck(Responder.ANOTHER, "i-2"),
         ),
-        (says(b"421 Misdirected"), AddressCheck(Look.ANOTHER)),
+        (says(b"421 Misdirected"), AddressCheck(Responder.ANOTHER)),
         (
             says(b"200 OK", b"Instance-Id: i-2"),
-            AddressCheck(Look.ANOTHER, "i-2"),
+            AddressCheck(Responder.ANOTHER, "i-2"),
         ),
-        (b"", AddressCheck(Look.UNCLEAR)),
-        (b"garbage\r\n\r\n", AddressCheck(Look.UNCLEAR)),
-        (None, AddressCheck(Look.UNCLEAR)),
+        (b"", AddressCheck(Responder.UNCLEAR)),
+        (b"garbage\r\n\r\n", AddressCheck(Responder.UNCLEAR)),
+        (None, AddressCheck(Responder.UNCLEAR)),
     ],
 )
 def test_who_answers(reply, found):
@@ -71,4 +74,4 @@
     with socket.create_server(("127.0.0.1", 0)) as sock:
         port = sock.getsockname()[1]
     found = check_address(Upstream().entry(port=port), "/health")
-    assert found == AddressCheck(Look.NOTHING)
+    assert found == AddressCheck(Responder.NOTHING)
--- a/tests/components/suspects/test_crash_verdict.py
+++ b/tests/components/suspects/test_crash_verdict.py
@@ -2,7 +2,10 @@
 
 import pytest
 
-from lacewingdock.components.suspects.crash_verdict import Fate, fate_of
+from lacewingdock.components.suspects.crash_verdict import (
+    CrashVerdict,
+    judge_crash,
+)
 from lacewingdock.components.upstreams.instance import Instance
 from tests.components.suspects.fleet import entry
 
@@ -10,29 +13,32 @@
 
 
 @pytest.mark.parametrize(
-    ("signs", "fate"),
+    ("signs", "verdict"),
     [
-        ({}, Fate.UNKNOWN),
-        ({"answered_at": LOST_AT}, Fate.PROVED),
+        ({}, CrashVerdict.UNKNOWN),
+        ({"answered_at": LOST_AT}, CrashVerdict.SURVIVED),
         # Sent before the loss: the start may have ended since.
-        ({"answered_at": LOST_AT - 0.01}, Fate.UNKNOWN),
+        ({"answered_at": LOST_AT - 0.01}, CrashVerdict.UNKNOWN),
         ({"answered_at": LOST_AT + 1, "unreached_at": LOST_AT + 2}, "proved"),
-        ({"unreached_at": LOST_AT}, Fate.CRASHED),
-        ({"unreached_at": LOST_AT - 0.01}, Fate.UNKNOWN),
+        ({"unreached_at": LOST_AT}, CrashVerdict.CRASHED),
+        ({"unreached_at": LOST_AT - 0.01}, CrashVerdict.UNKNOWN),
         # Bytes that came before the loss may be read a little after it.
-        ({"heard_at": LOST_AT + 0.05}, Fate.UNKNOWN),
-        ({"heard_at": LOST_AT + 0.2}, Fate.LIVES),
-        ({"heard_at": LOST_AT + 0.2, "unreached_at": LOST_AT}, Fate.LIVES),
+        ({"heard_at": LOST_AT + 0.05}, CrashVerdict.UNKNOWN),
+        ({"heard_at": LOST_AT + 0.2}, CrashVerdict.LIKELY_ALIVE),
+        (
+            {"heard_at": LOST_AT + 0.2, "unreached_at": LOST_AT},
+            CrashVerdict.LIKELY_ALIVE,
+        ),
         # They were read late by a router without processor time.
         ({"heard_at": LOST_AT + 0.2, "unreached_at": LOST_AT + 1}, "crashed"),
     ],
 )
-def test_what_became_of_an_instance(signs, fate):
+def test_what_became_of_an_instance(signs, verdict):
     instance = Instance(entry("i-1"))
     for name, value in signs.items():
         setattr(instance, name, value)
-    assert fate_of(instance, LOST_AT) == fate
+    assert judge_crash(instance, LOST_AT) == verdict
 
 
 def test_what_is_gone_crashed():
-    assert fate_of(None, LOST_AT) is Fate.CRASHED
+    assert judge_crash(None, LOST_AT) is CrashVerdict.CRASHED
--- a/tests/components/suspects/test_suspects.py
+++ b/tests/components/suspects/test_suspects.py
@@ -8,10 +8,10 @@
 from lacewingdock.components.suspects import PoisonRequests, fingerprint_of
 from lacewingdock.components.suspects.const import (
     CRASHES_TO_HOLD,
-    FORGET_S,
     HOLD_S,
     MAX_SUSPECTS,
-    TELL_AFTER_S,
+    PUBLISH_AFTER_S,
+    SUSPECT_EXPIRY_S,
     TRIAL_S,
 )
 from lacewingdock.components.upstreams.directory import Directory
@@ -48,7 +48,7 @@
     for number, router in enumerate(fleet.routers):
         assert not router.holds(call(), "w")
         router.lost(call(), "w", f"i-{number}")
-        clock.now += TELL_AFTER_S + 0.1
+        clock.now += PUBLISH_AFTER_S + 0.1
         fleet.round()
     assert [one.holds(call(), "w") for one in fleet.routers] == [True] * 3
     assert fleet.writes == 3
@@ -62,9 +62,9 @@
         suspects.lost(call(), "w", f"i-{number}")
     suspects.answered(call(), "w")
     assert not suspects.lost(call(), "w", "i-2")
-    clock.now += TELL_AFTER_S + 0.1
+    clock.now += PUBLISH_AFTER_S + 0.1
     suspects.round()
-    assert suspects.told == {fingerprint_of(call(), "w"): ["i-2"]}
+    assert suspects.published == {fingerprint_of(call(), "w"): ["i-2"]}
 
 
 def test_lost_connections_of_living_instances_do_not_count(clock):
@@ -173,7 +173,7 @@
     source = random.Random(seed)
     for number in range(CRASHES_TO_HOLD):
         fleet.routers[0].lost(call(), "w", f"i-{number}")
-    clock.now += TELL_AFTER_S + 0.1
+    clock.now += PUBLISH_AFTER_S + 0.1
     fleet.round()
     trials = 0
     for step in range(1000):
@@ -221,7 +221,7 @@
     suspects.recover({fingerprint: ["i-0", "i-1", "i-2"]})
     assert suspects.holds(call(), "w")
     suspects.round()
-    assert suspects.told == {fingerprint: ["i-0", "i-1", "i-2"]}
+    assert suspects.published == {fingerprint: ["i-0", "i-1", "i-2"]}
 
 
 def test_recovered_losses_of_living_instances_do_not_count(clock):
@@ -230,10 +230,10 @@
     fleet.alive = {f"i-{number}" for number in range(8)}
     fingerprint = fingerprint_of(call(), "w")
     suspects.recover({fingerprint: ["i-0", "i-1", "i-2"]})
-    clock.now += TELL_AFTER_S
+    clock.now += PUBLISH_AFTER_S
     suspects.round()
     assert not suspects.holds(call(), "w")
-    assert suspects.told == {}
+    assert suspects.published == {}
 
 
 def test_bound_over_the_fleet(clock):
@@ -294,7 +294,7 @@
     for number in range(MAX_SUSPECTS + 50):
         suspects.lost(call(body=b"%d" % number), "w", "i-0")
     assert len(suspects.suspects) == MAX_SUSPECTS
-    clock.now += FORGET_S + 1
+    clock.now += SUSPECT_EXPIRY_S + 1
     suspects.round()
     assert suspects.suspects == {}
 
