--- a/lacewingdock/components/shifts/__init__.py
+++ b/lacewingdock/components/shifts/__init__.py
@@ -1,9 +1,9 @@
-"""Support for rolling versions out on the platform's order.
+"""Support for rolling out versions on the platform's orders.
 
-Every router moves its own requests by the order's time, judges the new
-version by the answers that all routers report, and may end the order: the
-end is a conditional write, so the first one wins and the others read it. No
-router is in charge, so none can fail while it is.
+Every router moves its own requests according to the order's time, evaluates the
+new version by the answers that all routers report, and may end the order. The
+end is a conditional write, so the first write wins and the other routers read
+it. There is no leader whose failure could stop a roll-out.
 """
 
 import threading
@@ -54,23 +54,24 @@
 
 
 class Shifts:
-    """The roll-outs under way, and the version that each service is on.
+    """The roll-outs under way, and the version of each service.
 
     Attributes:
-        host: What the platform says of this instance.
+        host: Profile of this instance from the platform.
         api: The platform's store.
         directory: The upstream instances.
         orders: The newest order of each service.
-        returned: Orders of a store that is back from a copy.
+        returned: Orders read from a restored store that may be outdated.
         running: Roll-outs under way, by service.
         settled: The version of each service outside of roll-outs.
         refused: Versions that were rolled back, by service.
         pins: The version of each session.
         reporter: Writes this router's reports.
-        unseen_s: Returns for how long an order that is taken now may have gone
-            unseen, in seconds.
-        store_doubtful: Returns whether the store was away lately.
-        admits: Returns whether the instance with an id takes a request now.
+        unseen_s: Returns for how many seconds an order read now may have been
+            in the store unseen.
+        store_doubtful: Returns whether the store was recently unavailable or
+            restored, so that its contents may be incomplete.
+        admits: Returns whether the instance with an id accepts a request now.
     """
 
     __slots__ = (
@@ -98,14 +99,14 @@
         directory: Directory,
         routers: Callable[[], int],
     ) -> None:
-        """Take the parts.
+        """Initialize without orders.
 
         Args:
-            host: What the platform says of this instance.
-            incarnation: This start of the router.
+            host: Profile of this instance from the platform.
+            incarnation: Incarnation of this router.
             api: The platform's store.
             directory: The upstream instances.
-            routers: Returns how many routers there are.
+            routers: Returns the number of routers.
         """
         self.host = host
         self.api = api
@@ -135,7 +136,7 @@
 
     @property
     def hurried(self) -> bool:
-        """Whether reports of a roll-out are waited for."""
+        """Whether a roll-out needs reports at the faster pace."""
         return any(shift.hurried for shift in list(self.running.values()))
 
     def version(
@@ -146,7 +147,7 @@
         Args:
             service: The service.
             call: The request.
-            again: Whether an attempt at it failed.
+            again: Whether an earlier attempt at the request failed.
         """
         shift = self.running.get(service)
         refused = self.refused.get(service, "")
@@ -166,16 +167,17 @@
         if pinned is not None and pinned != target and shift.keeps_sessions:
             return VersionRule(never=target)
         if pinned == target or shift.moves(call):
-            # One that failed there may go to any that is left.
+            # A retry may go to any instance of the version.
             instances = frozenset() if again else shift.full_load_instances
             return VersionRule(only=target, instances=instances)
         return VersionRule(never=target)
 
     def _has_capacity(self, shift: Shift) -> bool:
-        """Whether an instance that gets the new version's requests takes one.
+        """Whether an instance of the new version can run a request now.
 
-        It must be warm, and if it takes few, have a turn for it. Else requests
-        would be refused although the old version's instances have places.
+        The instance must be warm and, if its request rate is limited, have
+        room for the request. Otherwise requests would be refused although the
+        old version's instances have free slots.
         """
         warm = self.directory.warm(shift.order.service, shift.order.target)
         found = (
@@ -186,7 +188,7 @@
         return any(self.admits(one) for one in found)
 
     def add(self, sample: VersionSample, session: str) -> None:
-        """Take what an attempt showed of a version."""
+        """Record the result of an attempt, and pin its session."""
         self.pins.pin(sample.service, session, sample.version)
         shift = self.running.get(sample.service)
         if shift is None or sample.refused:
@@ -196,7 +198,7 @@
             shift.evidence.add(sample, is_new=is_new)
 
     def apply_report(self, report: Report) -> None:
-        """Take another router's report."""
+        """Apply another router's report to its roll-out."""
         shift = self._running(report.service, report.target)
         if shift is None or report.incarnation == self.reporter.incarnation:
             return
@@ -206,9 +208,9 @@
     def sessions_to_keep(self) -> list[KeptSession]:
         """Return the sessions that other routers would move too early.
 
-        All routers draw alike which sessions the new version gets first, but
-        one that did not serve a session before, or has started since, takes it
-        for new. While a session must stay, those that know it tell it.
+        All routers select the same sessions for the new version, but a router
+        that has not served a session, or was restarted since, treats it as new.
+        So while sessions must stay, the routers that track them gossip them.
         """
         found: list[KeptSession] = []
         for service, shift in list(self.running.items()):
@@ -223,7 +225,7 @@
         return sorted(found, key=lambda one: one.age_s)[:MAX_SESSIONS]
 
     def found_bad(self) -> list[tuple[str, str]]:
-        """Return the services and versions of roll-outs that were found bad."""
+        """Return service and version of each roll-out that was found bad."""
         return [
             (service, shift.order.target)
             for service, shift in list(self.running.items())
@@ -231,9 +233,9 @@
         ]
 
     def receive_message(self, message: Message) -> None:
-        """Take what another router says of sessions and bad versions.
+        """Apply the sessions and bad versions in another router's gossip.
 
-        The reports say the latter too, but they may be seen seconds late.
+        Reports hold the bad versions too, but may be read seconds later.
         """
         for one in message.sessions:
             self.pins.receive(one)
@@ -243,15 +245,19 @@
                     shift.mark_bad(message.router)
 
     def apply_stored_report(self, stored: StoredObject) -> None:
-        """Take another router's report from the store."""
+        """Apply another router's report from the store."""
         report = read_report(stored)
         if report is None:
-            log.error("report refused", report=stored.name)
+            log.error("invalid report ignored", report=stored.name)
             return
         self.apply_report(report)
 
     def own_reports(self) -> bytes:
-        """Return this router's reports, for others to hear in an outage."""
+        """Return this router's reports for direct exchange in an outage.
+
+        Returns:
+            A JSON list; empty without roll-outs.
+        """
         running = list(self.running.values())
         reports = [
             self.reporter.report(shift, self._old_running(shift))
@@ -260,21 +266,24 @@
         return msgspec.json.encode(reports) if reports else b""
 
     def receive(self, data: bytes) -> None:
-        """Take another router's reports from itself.
+        """Apply reports that another router sent directly.
+
+        A router that the store rejects can't write its reports. Without its bad
+        answers, each other router would have to observe enough by itself.
 
-        A router that the store turns away can't write them; without its bad
-        answers the others would each have to see enough by themselves.
+        Args:
+            data: A JSON list of reports.
         """
         try:
             reports: list[Report] = decode_json(data, list[Report])
         except msgspec.DecodeError as error:
-            log.error("reports refused", error=str(error))
+            log.error("invalid reports ignored", error=str(error))
             return
         for report in reports:
             self.apply_report(report)
 
     def round(self) -> None:
-        """Judge, move on, report and end what is due."""
+        """Evaluate, advance, report and end the roll-outs that are due."""
         for shift in list(self.running.values()):
             with self._lock:
                 shift.instances = self._new_instances(shift)
@@ -290,7 +299,7 @@
         self.pins.prune()
 
     def _running(self, service: str, target: str) -> Shift | None:
-        """Return the roll-out of a service to a version, if it is under way."""
+        """Return the roll-out of a service to a version if it is running."""
         shift = self.running.get(service)
         if shift is None or shift.order.target != target:
             return None
@@ -306,11 +315,11 @@
         return VersionRule(never=refused)
 
     def take(self, stored: StoredObject) -> None:
-        """Take an order."""
+        """Apply an order unless it is invalid, outdated or deferred."""
         try:
             order = read_shift(stored)
         except LacewingdockError as error:
-            log.error("order refused", order=stored.name, error=str(error))
+            log.error("invalid order ignored", order=stored.name, error=str(error))
             return
         known = self.orders.get(order.service)
         if known is not None and known.revision >= order.revision:
@@ -325,11 +334,11 @@
         self._begin(order)
 
     def _begin(self, order: ShiftOrder, waited_s: float = 0.0) -> None:
-        """Go by an order.
+        """Store and apply an order.
 
         Args:
             order: The order.
-            waited_s: Seconds since it was seen.
+            waited_s: Seconds since the order was first seen.
         """
         self.returned.forget(order.service)
         self.orders[order.service] = order
@@ -345,16 +354,16 @@
         self._apply(order, waited_s)
 
     def _may_be_outdated(self, known: ShiftOrder, order: ShiftOrder) -> bool:
-        """Whether the store may show an order as it was before what is known.
+        """Whether a restored store may hold an older state of an order.
 
-        It is back from a copy, and the operator's later orders and the ends
-        that routers wrote are written again.
+        Until the operator's later orders and the routers' final statuses are
+        written again, the store may return what was in the copy.
         """
         is_of_copy = era_of(order.revision) != era_of(known.revision)
         return is_of_copy and self.store_doubtful()
 
     def _defer(self, order: ShiftOrder) -> None:
-        """Leave an order until the store has all orders again."""
+        """Defer an order until the store has all orders again."""
         self.returned.defer(order)
         log.info(
             "order deferred",
@@ -364,7 +373,7 @@
         )
 
     def _resume_deferred(self) -> None:
-        """Go by what a store that is back from a copy shows by now."""
+        """Apply deferred orders, and write lost final statuses again."""
         if self.returned.deferred and not self.store_doubtful():
             for waited_s, order in self.returned.pop_deferred():
                 self._begin(order, waited_s)
@@ -373,12 +382,14 @@
             self._write_status(order, order.state)
 
     def _rewrite_end(self, known: ShiftOrder, order: ShiftOrder) -> None:
-        """Write again how an order ended, which the store lost.
+        """Schedule writing the final status of an order that the store lost.
 
-        Begun anew, a version that was rolled back would get requests again.
+        If the order began anew, a version that was rolled back would get
+        requests again.
         """
         self.orders[order.service] = replace(order, state=known.state)
-        # Spread over the fleet: once one has written it, the others see it.
+        # Spread over the fleet: once a router has written the status, the
+        # others read it and need not write it.
         spread = zlib.crc32(self.reporter.router.encode()) / 2**32
         self.returned.schedule_end_write(
             order.service, spread * self.reporter.pace_s()
@@ -407,17 +418,17 @@
                 self.running[service] = Shift(order, share, age_s)
 
     def _age_s(self) -> float:
-        """Return for how long an order that was just seen counts as placed.
+        """Return the assumed age in seconds of an order that was just read.
 
-        An order that a list shows may have been placed a while before; counted
-        from then on, a good version would be completed after its time. Too
-        long an age costs a part of the canary's time, and exposes no more.
+        An order read from a list may have been placed a while before. With an
+        age of zero, a good version would be completed after its deadline. An
+        age that is too high shortens the canary, but adds no exposure.
         """
         unseen_s = self.unseen_s()
         return unseen_s if unseen_s <= MAX_UNSEEN_S else 0.0
 
     def drop(self, stored: StoredObject) -> None:
-        """Take an order that was removed: it is over."""
+        """End the roll-out of an order that was removed."""
         for service, order in list(self.orders.items()):
             if order.name == stored.name:
                 self.running.pop(service, None)
@@ -440,12 +451,12 @@
         )
 
     def live_reports(self, shift: Shift) -> list[Report]:
-        """Return the other routers' reports of a roll-out, if they live."""
+        """Return the other live routers' reports on a roll-out."""
         lost_s = REPORTS_LOST * self.reporter.quiet_pace_s()
         return shift.live_reports(lost_s)
 
     def _is_router_behind(self, shift: Shift) -> bool:
-        """Whether a router that lives has not moved all of its requests."""
+        """Whether a live router has not moved all of its requests."""
         if shift.stage is not Stage.ALL:
             return True
         reports = self.live_reports(shift)
@@ -455,26 +466,29 @@
         return any(report.stage is not Stage.ALL for report in reports)
 
     def _is_done(self, shift: Shift) -> bool:
-        """Whether all requests moved and nothing runs on what is stopped."""
+        """Whether all requests moved and none runs on the old version.
+
+        At the deadline, requests that still run do not delay the end.
+        """
         if shift.suspect or self._is_router_behind(shift):
             return False
         if shift.deadline_reached:
             return True
         if self.store_doubtful():
-            # Nobody could report while the store was away, so a router that is
-            # silent may still have requests on the old version, which a
-            # completion stops at once.
+            # No router could report while the store was unavailable, so a
+            # router without a live report may still run requests on the old
+            # version, which a completion stops at once.
             return False
         return not self._old_running(shift) and not any(
             report.old_running for report in self.live_reports(shift)
         )
 
     def _end(self, shift: Shift, state: ShiftState) -> None:
-        """Write what became of an order; a lost race is read back."""
+        """Write the new state of a roll-out's order."""
         self._write_status(shift.order, state)
 
     def _write_status(self, order: ShiftOrder, state: ShiftState) -> None:
-        """Write what became of an order; a lost race is read back."""
+        """Write an order's state; on a conflict, apply the stored order."""
         status = shift_status(order, state)
         try:
             written, found = self.api.write_status(
@@ -482,7 +496,7 @@
             )
         except LacewingdockError as error:
             log.warning(
-                "status not written",
+                "order status not written",
                 service=order.service,
                 state=state,
                 error=str(error),
--- a/lacewingdock/components/shifts/evidence.py
+++ b/lacewingdock/components/shifts/evidence.py
@@ -1,4 +1,4 @@
-"""Support for judging the new version by its answers."""
+"""Support for evaluating the new version by its answers."""
 
 import statistics
 import time
@@ -24,16 +24,17 @@
 
 @dataclass(slots=True)
 class VersionSample:
-    """What one attempt showed of a version.
+    """Result of one attempt, attributed to a version.
 
     Attributes:
-        service: The service.
-        version: The version.
-        instance: The instance.
-        route: The route.
-        bad: Whether it failed.
-        refused: Whether the instance did not run it, which says nothing.
-        seconds: Time to the answer, or to the first event.
+        service: Name of the service.
+        version: Version that ran the attempt.
+        instance: Id of the instance that ran the attempt.
+        route: Name of the request's route.
+        bad: Whether the attempt failed.
+        refused: Whether the instance did not run the attempt, so that it is no
+            evidence about the version.
+        seconds: Seconds to the answer, or to the first event of a stream.
     """
 
     service: str
@@ -46,13 +47,13 @@
 
 
 class VersionEvidence:
-    """Answers of the new version against those of the old one.
+    """Answers of the new version, with the old version's as the control.
 
     Attributes:
         control: The old version's share of bad answers.
-        answers: Answers of the new version.
-        bad: Bad ones among them.
-        bad_instances: Instances that gave them.
+        answers: Number of the new version's answers.
+        bad: Number of bad answers among them.
+        bad_instances: Ids of the instances that gave bad answers.
     """
 
     __slots__ = (
@@ -76,7 +77,7 @@
         self._blamed_at: dict[str, float] = {}
 
     def add(self, sample: VersionSample, *, is_new: bool) -> None:
-        """Count an answer."""
+        """Count an answer of the new version or of the control."""
         is_bad = sample.bad or self._is_slow(sample)
         if is_bad and not self._is_new_cause(sample.instance):
             return
@@ -107,16 +108,16 @@
 
 
 class ChangeDetector:
-    """Tells when a version's share of bad answers rises above a level.
+    """Detects when a version's share of bad answers rises above a level.
 
     The bets are those of `exposure.evidence`, on the sums over all routers.
-    A bet that lost what it had starts again from one (a CUSUM test), so that
-    good answers from before do not hide a version that turns bad: it had 7 bad
-    of 31 answers, and then of 1,600, where a single bet still trusted it.
+    Each bet's wealth is reset to one when it falls below one (a CUSUM test), so
+    that earlier good answers do not hide a version that turns bad. A single bet
+    without a reset missed a version with 7 bad of 31 answers, and of 1,600.
 
     Attributes:
-        answers: Answers seen.
-        bad: Bad ones among them.
+        answers: Number of answers counted.
+        bad: Number of bad answers among them.
         wealths: Wealth of each bet.
     """
 
@@ -129,11 +130,11 @@
         self.wealths = [1.0] * len(ERROR_SHARES)
 
     def update(self, answers: int, bad: int, level: float) -> None:
-        """Take the sums as they are now.
+        """Update the bets with the present sums over all routers.
 
         Args:
-            answers: Answers of the version.
-            bad: Bad ones among them.
+            answers: Number of the version's answers.
+            bad: Number of bad answers among them.
             level: Share of bad answers that a good version may have.
         """
         more_bad = max(bad - self.bad, 0)
@@ -142,8 +143,8 @@
         self.bad = max(bad, self.bad)
         for index, share in enumerate(ERROR_SHARES):
             wealth = self.wealths[index]
-            # Answers of one round have no order; the good ones go first,
-            # so that they do not take from what the bad ones show.
+            # Answers within a round have no order; the good ones are counted
+            # first, so that they do not reduce the evidence of the bad ones.
             wealth *= error_factor(share, False, level) ** more_good
             wealth = max(wealth, 1.0)
             wealth *= error_factor(share, True, level) ** more_bad
@@ -151,15 +152,16 @@
 
     @property
     def wealth(self) -> float:
-        """Mean wealth of the bets; one where nothing speaks against it."""
+        """Mean wealth of the bets; one without evidence against the version."""
         return sum(self.wealths) / len(self.wealths)
 
 
 def tolerated_share(control: Control) -> float:
     """Return the share of bad answers that a good version may have now.
 
-    Twice the old version's, as a longer roll-out takes it, hid a version that
-    failed half of its requests while the old one had lost four instances.
+    Twice the old version's share, as used for longer roll-outs, hid a version
+    that failed half of its requests while the old version had lost four
+    instances.
     """
     seen = control.errors / control.requests if control.requests else 0.0
     return min(seen + ERROR_TOLERANCE, MAX_TOLERATED_SHARE)
--- a/lacewingdock/components/shifts/pins.py
+++ b/lacewingdock/components/shifts/pins.py
@@ -1,4 +1,4 @@
-"""Support for remembering the version that a session is on."""
+"""Support for keeping each session on its version."""
 
 import math
 import threading
@@ -8,13 +8,14 @@
 
 from lacewingdock.components.gossip import KeptSession
 
-# A request that is still running keeps its session; the bound of the pause
-# counts from its end, which the last attempt's start is not.
+# Seconds added to the longest pause of a session: the pause counts from a
+# request's end, and a running request keeps its session, but the time recorded
+# is that of an attempt.
 MARGIN_S: Final = 3.0
 
 
 class SessionPins:
-    """The version of each session, as this router saw it.
+    """The version of each session, from this router's attempts and from gossip.
 
     Attributes:
         session_s: Returns the longest pause between requests of a session,
@@ -24,19 +25,24 @@
     __slots__ = ("_lock", "_pins", "session_s")
 
     def __init__(self, session_s: Callable[[], float]) -> None:
-        """Start without sessions."""
+        """Initialize without sessions.
+
+        Args:
+            session_s: Returns the longest pause between requests of a session,
+                in seconds.
+        """
         self.session_s = session_s
         self._pins: dict[tuple[str, str], tuple[str, float]] = {}
         self._lock = threading.Lock()
 
     def pin(self, service: str, session: str, version: str) -> None:
-        """Note that a request of a session ran on a version."""
+        """Record that a request of a session ran on a version."""
         if session:
             with self._lock:
                 self._pins[service, session] = (version, time.monotonic())
 
     def version(self, service: str, session: str) -> str | None:
-        """Return the version that a session is on; None where it is free."""
+        """Return the version of a session; None if it has none."""
         if not session:
             return None
         with self._lock:
@@ -46,10 +52,10 @@
         return pin[0]
 
     def of_service(self, service: str) -> list[KeptSession]:
-        """Return the sessions of a service that are remembered.
+        """Return the sessions of a service that have not expired.
 
-        Ages are rounded up: rounded down, what two routers tell each other in
-        turn would grow younger, and the session would stay for good.
+        Ages are rounded up. Rounded down, a session that two routers report to
+        each other in turn would grow younger and never expire.
         """
         now = time.monotonic()
         with self._lock:
@@ -59,22 +65,22 @@
                 if name == service and now - at <= self.retention_s
             ]
 
-    def receive(self, told: KeptSession) -> None:
-        """Take another router's word, unless what is known is newer."""
-        key = (told.service, told.session)
-        at = time.monotonic() - told.age_s
+    def receive(self, reported: KeptSession) -> None:
+        """Apply another router's session unless this router's is newer."""
+        key = (reported.service, reported.session)
+        at = time.monotonic() - reported.age_s
         with self._lock:
-            known = self._pins.get(key)
-            if known is None or known[1] < at:
-                self._pins[key] = (told.version, at)
+            own = self._pins.get(key)
+            if own is None or own[1] < at:
+                self._pins[key] = (reported.version, at)
 
     @property
     def retention_s(self) -> float:
-        """Seconds for which a session is remembered."""
+        """Seconds after its last request at which a session expires."""
         return self.session_s() + MARGIN_S
 
     def prune(self) -> None:
-        """Forget the sessions that ended."""
+        """Drop the sessions that expired."""
         old = time.monotonic() - self.retention_s
         with self._lock:
             for key in [k for k, pin in self._pins.items() if pin[1] < old]:
--- a/lacewingdock/components/shifts/report.py
+++ b/lacewingdock/components/shifts/report.py
@@ -1,4 +1,4 @@
-"""Support for what a router reports of a roll-out."""
+"""Support for the routers' reports on roll-outs."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -10,7 +10,13 @@
 
 
 class Stage(IntEnum):
-    """How far a router moved its requests, in this order."""
+    """How far a router has moved its requests, in ascending order.
+
+    Attributes:
+        CANARY: A small share of the requests goes to the new version.
+        RAMP: Half of the sessions go to the new version.
+        ALL: All requests go to the new version.
+    """
 
     CANARY = 0
     RAMP = 1
@@ -19,20 +25,20 @@
 
 @dataclass(slots=True)
 class Report:
-    """What one router saw of a roll-out.
+    """One router's progress and observations in a roll-out.
 
     Attributes:
-        service: The service.
+        service: Name of the service.
         target: The new version.
-        router: The router's instance name.
-        incarnation: Its start.
-        elapsed_s: Seconds since the order, as it reckons.
-        stage: How far it moved its requests.
-        answers: Answers of the new version.
-        bad: Bad ones among them.
-        bad_instances: Instances that gave them.
-        old_running: Requests that run on other versions.
-        found_bad: Whether it holds the version for bad.
+        router: Instance name of the router.
+        incarnation: Incarnation of the router.
+        elapsed_s: Seconds since the order by the router's own count.
+        stage: How far the router has moved its requests.
+        answers: Number of the new version's answers to this router.
+        bad: Number of bad answers among them.
+        bad_instances: Ids of the instances that gave bad answers.
+        old_running: Number of requests running on other versions.
+        found_bad: Whether the router considers the version bad.
     """
 
     service: str
@@ -49,12 +55,12 @@
 
     @property
     def name(self) -> str:
-        """Name of its object."""
+        """Name of the stored object of the report."""
         return f"{self.service}.{self.router}"
 
 
 def read_report(stored: StoredObject) -> Report | None:
-    """Decode a report; None where it is none."""
+    """Decode a stored report; None if the object is no valid report."""
     spec: Any = stored.spec
     try:
         return msgspec.convert(spec, Report)
--- a/lacewingdock/components/shifts/reporter.py
+++ b/lacewingdock/components/shifts/reporter.py
@@ -24,17 +24,18 @@
 
 
 class Reporter:
-    """Writes reports, no more often than the fleet's writes allow.
+    """Writes this router's reports within the fleet's budget of writes.
 
     Attributes:
         api: The platform's store.
-        router: This router's name.
-        incarnation: This start of it.
-        pace_s: Returns the least seconds between two writes.
-        quiet_pace_s: Returns the same while no report is waited for.
-        revisions: Revision of each report's object, as far as known.
-        written: The last report by name.
-        written_at: Monotonic time of the last write by name.
+        router: Instance name of this router.
+        incarnation: Incarnation of this router.
+        pace_s: Returns the least seconds between two writes of a report.
+        quiet_pace_s: Returns the same for a roll-out without bad answers before
+            requests move.
+        revisions: Last observed revision of each report's object, by name.
+        written: Last report written, by name.
+        written_at: Monotonic time of the last write, by name.
     """
 
     __slots__ = (
@@ -56,7 +57,16 @@
         pace_s: Callable[[], float],
         quiet_pace_s: Callable[[], float],
     ) -> None:
-        """Start without reports."""
+        """Initialize without reports.
+
+        Args:
+            api: The platform's store.
+            router: Instance name of this router.
+            incarnation: Incarnation of this router.
+            pace_s: Returns the least seconds between two writes of a report.
+            quiet_pace_s: Returns the same for a roll-out without bad answers
+                before requests move.
+        """
         self.api = api
         self.router = router
         self.incarnation = incarnation
@@ -82,11 +92,11 @@
     def remove_gone(
         self, reports: Iterable[StoredObject], routers: Collection[str]
     ) -> None:
-        """Remove the reports of routers that are gone for good.
+        """Remove invalid reports and those of routers that no longer exist.
 
         Args:
-            reports: All reports.
-            routers: Names of the routers that there are.
+            reports: All stored reports.
+            routers: Names of the routers that exist.
         """
         for stored in reports:
             report = read_report(stored)
@@ -102,7 +112,7 @@
             log.info("report removed", report=stored.name)
 
     def report(self, shift: Shift, old_running: int) -> Report:
-        """Return what this router has to report of a roll-out."""
+        """Return this router's report on a roll-out."""
         return Report(
             service=shift.order.service,
             target=shift.order.target,
@@ -120,9 +130,10 @@
     def _is_due(self, report: Report, pace_s: float) -> bool:
         """Whether a report must be written now.
 
-        One that calls the version bad goes out at once: each moment without
-        it sends requests of all other routers there. So does one that all
-        requests moved: the others wait for it to end the order in its time.
+        A report that the version is bad is written at once, since all other
+        routers send requests to the version until they read it. So is a report
+        that all requests moved: the other routers wait for it to complete the
+        order in time.
         """
         last = self.written.get(report.name)
         if last is None or last.found_bad != report.found_bad:
@@ -140,8 +151,8 @@
         self.written_at[name] = time.monotonic()
         expect = self.revisions.get(name, ABSENT)
         spec = dataclasses.asdict(report)
-        # An earlier start of this router may have written it, or a write
-        # whose answer was lost.
+        # The object may exist at another revision: an earlier start of this
+        # router may have written it, or a write whose answer was lost.
         _, found = self.api.write_over(
             KIND_REPORTS, name, spec, expect, "shift-report"
         )
--- a/lacewingdock/components/shifts/restored_orders.py
+++ b/lacewingdock/components/shifts/restored_orders.py
@@ -1,4 +1,4 @@
-"""Support for orders of a store that is back from an older copy of itself."""
+"""Support for orders in a store that was restored from an older copy."""
 
 import time
 
@@ -6,47 +6,48 @@
 
 
 class RestoredOrders:
-    """Orders as the store's copy has them, until it has all again.
+    """Orders read from a restored store that may be outdated.
 
-    The copy may show the order before the last one, or one without the end
-    that a router wrote. The operator's orders are written again within
-    seconds, and the routers' ends by the routers that know them.
+    The restored copy may hold the order before the latest one, or an order
+    without the final status that a router wrote. The operator's orders are
+    written again within seconds, and the final statuses by the routers that
+    have them in memory.
 
     Attributes:
-        deferred: Orders to other targets than those known, with the time at
-            which each service's was seen first.
-        unwritten: Services whose order ended, by a status that the store lost,
-            with the time from which it is written again.
+        deferred: Orders whose target differs from that of the latest order, by
+            service, with the monotonic time at which the first was seen.
+        unwritten: Services whose orders' final status the store lost, with the
+            monotonic time from which it is written again.
     """
 
     __slots__ = ("deferred", "unwritten")
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Initialize without orders."""
         self.deferred: dict[str, tuple[float, ShiftOrder]] = {}
         self.unwritten: dict[str, float] = {}
 
     def defer(self, order: ShiftOrder) -> None:
-        """Leave an order until the store has all orders again."""
+        """Defer an order until the store has all orders again."""
         seen_at, _ = self.deferred.get(order.service, (time.monotonic(), order))
         self.deferred[order.service] = seen_at, order
 
     def forget(self, service: str) -> None:
-        """Forget a service's order: a later one counts."""
+        """Drop a service's pending order, as a later one replaces it."""
         self.deferred.pop(service, None)
         self.unwritten.pop(service, None)
 
     def pop_deferred(self) -> list[tuple[float, ShiftOrder]]:
-        """Return the orders that were left, with the seconds since."""
+        """Remove and return the deferred orders, with the seconds deferred."""
         now = time.monotonic()
         found, self.deferred = list(self.deferred.values()), {}
         return [(now - seen_at, order) for seen_at, order in found]
 
     def schedule_end_write(self, service: str, after_s: float) -> None:
-        """Have the end of a service's order written again after a while."""
+        """Schedule writing a final status again, after some seconds."""
         self.unwritten.setdefault(service, time.monotonic() + after_s)
 
     def due_writes(self) -> list[str]:
-        """Return the services whose orders' ends are to be written now."""
+        """Return the services whose final status is due to be written."""
         now = time.monotonic()
         return [name for name, at in self.unwritten.items() if at <= now]
--- a/lacewingdock/components/shifts/schedule.py
+++ b/lacewingdock/components/shifts/schedule.py
@@ -1,8 +1,9 @@
-"""Support for when a roll-out gives how much to the new version.
+"""Support for scheduling the new version's share of the requests.
 
-Whatever the new version gets, from the order to its deadline, is bounded: it
-may turn bad at any moment. That bound is spent on a canary over all of its
-instances, then on the whole load of two of them, then on the move of all.
+The new version may turn bad at any moment, so its total exposure from the order
+to the deadline is bounded. This exposure is spent on a canary over all of the
+version's instances, then on the full load of two of them, then on the move of
+all requests.
 """
 
 from dataclasses import dataclass
@@ -21,20 +22,20 @@
     SESSIONS_MOVE_PART,
 )
 
-# Part of the requests that the new version gets in the mean of the move: the
-# exposure lasts this much longer.
+# Mean share of the requests that the new version gets during the move. The move
+# lasts for its exposure in seconds divided by this share.
 _MOVING: Final = 1.0 - RAMP_PART * (1.0 - RAMP_SHARE)
 
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """What the new version gets, and when.
+    """The new version's share of the requests over an order's time.
 
     Attributes:
-        load_at_s: Seconds after the order from which a few instances get
-            all that an instance gets after the move; the same as `move_at_s`
-            where the bound does not suffice for it.
-        loaded_share: Share of the requests that goes to them then.
+        full_load_at_s: Seconds after the order from which a few instances get
+            the load that each instance has after the move; equal to `move_at_s`
+            where the exposure does not suffice for this.
+        full_load_share: Share of the requests that these instances get.
         move_at_s: Seconds after the order from which all requests move.
     """
 
@@ -49,9 +50,9 @@
     """Return the schedule of an order.
 
     Args:
-        duration_s: Seconds in which it shall be done.
+        duration_s: Seconds from the order to its deadline.
         exposure_share: Share of the requests that a bad version may get.
-        instances: Instances of the new version.
+        instances: Number of instances of the new version.
     """
     bound_s = exposure_share * duration_s
     to_move_s = MOVE_PART * bound_s
--- a/lacewingdock/components/shifts/shift.py
+++ b/lacewingdock/components/shifts/shift.py
@@ -1,4 +1,4 @@
-"""Support for one roll-out: how far it is and what it allows."""
+"""Support for the progress of one roll-out and its version rules."""
 
 import functools
 import hashlib
@@ -30,26 +30,26 @@
 from lacewingdock.world.backend import ShiftOrder, UpstreamEntry
 from lacewingdock.world.call import Call
 
-# A router that has just seen an order, or started, moves no session before it
-# could hear from the others which must stay.
+# Seconds after a router starts or first sees an order during which it moves no
+# session: the other routers' gossip must first name the sessions to keep.
 SESSION_WAIT_S: Final = 2 * REPEAT_S
 
 _BUCKETS: Final = 10_000
-# Draws that are remembered, for the sessions of some seconds: while a canary
-# runs they are asked for with each message to the other routers.
-DRAWS_KEPT: Final = 1024
+# Number of cached hash buckets, for the sessions of some seconds: while a
+# canary runs, each gossip message looks them up.
+MAX_CACHED_BUCKETS: Final = 1024
 
 log = get_logger("shifts")
 
 
 @dataclass(slots=True, frozen=True)
 class VersionRule:
-    """Which versions may run a request.
+    """Which versions and instances may run a request.
 
     Attributes:
-        only: The one version that may; empty for any.
-        never: A version that may not; empty for none.
-        instances: Ids of the instances that may; empty for all.
+        only: The only version that may run it; empty for any.
+        never: A version that must not run it; empty for none.
+        instances: Ids of the instances that may run it; empty for all.
     """
 
     only: str = ""
@@ -70,24 +70,24 @@
 
 
 class Shift:
-    """One order and what this router knows of it.
+    """One roll-out as this router sees it.
 
     Attributes:
-        order: The order.
-        seen_at: Boot time at which it was seen here.
-        known_s: Seconds since the order at that moment, by others' reports or
-            by how long it may have gone unseen.
-        stage: How far requests are moved.
-        evidence: What this router saw of the new version.
-        detector: Tells when the sum over all routers speaks against it.
+        order: The operator's order.
+        seen_at: Boot time at which this router first saw the order.
+        initial_age_s: Age of the order in seconds at that moment, from other
+            routers' reports or from how long the order may have been unseen.
+        stage: How far this router has moved its requests.
+        evidence: Answers to this router.
+        detector: Detects a bad version from the sums over all routers.
         found_bad: Why the version counts as bad; empty while it does not.
         reports: Other routers' newest reports by object name, with the
-            monotonic time at which each came.
+            monotonic time at which each was received.
         exposure_share: Share of the requests that a bad version may get.
         instances: Ids of the new version's instances.
-        plan: The schedule by which a few instances get a whole instance's load
-            each; None before. It stays when instances come and go, or what
-            was spent on it would be spent on the move again.
+        plan: Schedule in force since the full-load stage began; None before.
+            It is fixed while instances come and go: computed anew, it could
+            spend the exposure of this stage on the move again.
     """
 
     __slots__ = (
@@ -107,7 +107,13 @@
     def __init__(
         self, order: ShiftOrder, exposure_share: float, age_s: float = 0.0
     ) -> None:
-        """Take an order that was just seen, and how old it may be."""
+        """Initialize a roll-out at its canary stage.
+
+        Args:
+            order: The order, just seen by this router.
+            exposure_share: Share of the requests that a bad version may get.
+            age_s: Age of the order in seconds.
+        """
         self.order = order
         self.seen_at = since_boot()
         self.initial_age_s = age_s
@@ -127,37 +133,37 @@
 
     @property
     def schedule(self) -> Schedule:
-        """What the new version gets, and when."""
+        """The new version's share of the requests over the order's time."""
         return self.plan or schedule(
             self.order.duration_s, self.exposure_share, len(self.instances)
         )
 
     @property
     def deadline_reached(self) -> bool:
-        """Whether the order must be completed, whatever still runs."""
+        """Whether the order must end now, even if requests still run."""
         return self.elapsed_s >= self.order.duration_s - FORCE_BEFORE_S
 
     @property
     def suspect(self) -> bool:
-        """Whether answers speak against the version, if not enough."""
+        """Whether the evidence against the version makes it suspect."""
         return self.detector.wealth >= SUSPECT_WEALTH
 
     @property
     def hurried(self) -> bool:
-        """Whether reports are waited for.
+        """Whether reports are needed at the faster pace.
 
-        Bad answers are reported sooner than good ones. Where reports of the
-        good ones came late, two slow answers of 214 made a good version
-        suspect as its requests moved.
+        Bad answers are reported sooner than good ones. When reports of the good
+        answers came late, two slow answers of 214 made a good version suspect
+        while its requests moved.
         """
         if self.stage is not Stage.CANARY or self.at_full_load:
             return True
         return self._fleet_total("bad") > 0
 
     def moves(self, call: Call) -> bool:
-        """Whether a request that is free to move goes to the new version.
+        """Whether a request that may move goes to the new version.
 
-        All routers agree on a session: they draw by its name.
+        All routers agree on a session, since they hash its name.
         """
         if self.found_bad:
             return False
@@ -167,25 +173,26 @@
         return self.selects(call.session or call.id)
 
     def selects(self, name: str) -> bool:
-        """Whether a session is among those that the new version gets."""
+        """Whether a session or request falls into the new version's share."""
         bucket = _bucket(self.order.target, name)
         return bucket < self.share * _BUCKETS
 
     @property
     def at_full_load(self) -> bool:
-        """Whether a few instances get a whole instance's load each."""
+        """Whether the full-load stage on a few instances is under way."""
         return self.plan is not None and self.stage is Stage.CANARY
 
     @property
     def keeps_sessions(self) -> bool:
-        """Whether sessions on the old version stay there."""
+        """Whether sessions stay on the old version."""
         return self.stage is Stage.CANARY and not self.at_full_load
 
     @property
     def full_load_instances(self) -> frozenset[str]:
-        """The instances that get the new version's requests; empty for all.
+        """Ids of the instances at full load; empty outside of that stage.
 
-        All routers choose the same ones, or each would get a part of the load.
+        All routers choose the same instances. Otherwise the load would be
+        spread over more instances, each with a part of it.
         """
         if not self.at_full_load:
             return frozenset()
@@ -196,7 +203,7 @@
 
     @property
     def share(self) -> float:
-        """Share of the sessions that the new version gets."""
+        """Share of the sessions and requests that the new version gets."""
         match self.stage:
             case Stage.CANARY if self.at_full_load:
                 return self.schedule.full_load_share
@@ -207,10 +214,10 @@
         return 1.0
 
     def apply_report(self, report: Report) -> None:
-        """Take another router's report.
+        """Apply another router's report unless it is outdated.
 
-        The store's copy may show an older one; as that of a router that is
-        behind it would hold the order up.
+        A restored store may return an older report, in which the router counts
+        as behind and would delay the completion.
         """
         _, known = self.reports.get(report.name, (0.0, report))
         is_same_start = known.incarnation == report.incarnation
@@ -219,25 +226,26 @@
         self.reports[report.name] = (time.monotonic(), report)
         ahead = report.elapsed_s - self.elapsed_s
         if ahead > 0:
-            # It saw the order earlier: this router started since.
+            # The other router saw the order earlier; this one may have started
+            # since.
             self.initial_age_s += ahead
 
     def live_reports(self, lost_s: float) -> list[Report]:
-        """Return the reports of routers that live.
+        """Return the reports of live routers.
 
         Args:
-            lost_s: Age from which a report is of a router that is gone.
+            lost_s: Age in seconds from which a report's router counts as gone.
         """
         since = time.monotonic() - lost_s
         return [report for at, report in self.reports.values() if at >= since]
 
     def mark_bad(self, router: str) -> None:
-        """Take another router's word that the version is bad."""
+        """Mark the version as bad because another router reported it."""
         if self.found_bad:
             return
-        self.found_bad = "another router's word"
+        self.found_bad = "another router's message"
         log.warning(
-            "version is bad by another's word",
+            "version is bad according to another router",
             service=self.order.service,
             target=self.order.target,
             router=router,
@@ -245,7 +253,7 @@
         )
 
     def advance(self) -> None:
-        """Judge the version and move on if it is time."""
+        """Evaluate the version, and advance the stage by one if it is due."""
         if self.found_bad:
             return
         self._judge()
@@ -258,7 +266,7 @@
             return
         self.stage = Stage(self.stage + 1)
         log.info(
-            "roll-out moves on",
+            "roll-out stage advanced",
             service=self.order.service,
             target=self.order.target,
             stage=self.stage.name,
@@ -278,7 +286,7 @@
         return Stage.RAMP if moved_s < ramp_s else Stage.ALL
 
     def _full_load_is_due(self) -> bool:
-        """Whether a few instances shall get a whole instance's load now."""
+        """Whether the full-load stage is to begin now."""
         if self.plan or self.stage is not Stage.CANARY or self.suspect:
             return False
         if self._fleet_total("answers") < MIN_ANSWERS:
@@ -289,7 +297,7 @@
     def _start_full_load(self) -> None:
         self.plan = self.schedule
         log.info(
-            "roll-out loads instances",
+            "roll-out full load started",
             service=self.order.service,
             target=self.order.target,
             instances=sorted(self.full_load_instances),
@@ -306,7 +314,7 @@
         for _, report in self.reports.values():
             instances.update(report.bad_instances)
             by_report = by_report or report.found_bad
-        # One instance that fails is a bad instance, not a bad version.
+        # A single failing instance is a bad instance, not a bad version.
         wealth = self.detector.wealth if len(instances) > 1 else 1.0
         if by_report:
             self.found_bad = "another router's report"
@@ -330,13 +338,13 @@
         )
 
     def _fleet_total(self, name: str) -> int:
-        """Add a count up over all routers, those that are gone too."""
+        """Return a count's sum over all routers, including gone ones."""
         reports = (report for _, report in self.reports.values())
         own = int(getattr(self.evidence, name))
         return own + sum(int(getattr(report, name)) for report in reports)
 
 
-@functools.lru_cache(maxsize=DRAWS_KEPT)
+@functools.lru_cache(maxsize=MAX_CACHED_BUCKETS)
 def _bucket(target: str, name: str) -> int:
     draw = hashlib.blake2b(f"{target}/{name}".encode(), digest_size=8)
     return int.from_bytes(draw.digest(), "big") % _BUCKETS
--- a/lacewingdock/components/suspects/__init__.py
+++ b/lacewingdock/components/suspects/__init__.py
@@ -1,8 +1,9 @@
-"""Support for requests that crash the upstream instances that run them.
+"""Support for poison requests, which crash the instances that run them.
 
-Such a request comes again, through any router, and would take one instance
-after the other down. Every router notes at which instances a request was lost,
-tells the others, and refuses it once the sum is clear.
+A poison request is retried through any router and would crash one instance
+after another. Every router records at which instances a request was lost,
+publishes these losses to the other routers, and refuses the request once the
+losses of all routers include enough crashes.
 """
 
 import math
@@ -41,7 +42,7 @@
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.world.call import Call
 
-# Instances at which requests were lost, by the requests' fingerprints.
+# Names of the instances that lost a request, by the request's fingerprint.
 Losses = dict[str, list[str]]
 
 _DECISION_BY_RESPONDER: Final = {
@@ -56,17 +57,19 @@
 
 @dataclass(slots=True)
 class SuspectRequest:
-    """A request that was lost and not answered since.
+    """A request that was lost and has not been answered since.
 
     Attributes:
-        own: Instances at which this router lost it, with the monotonic time.
-        told: Instances at which other routers did, with the time of hearing.
-        hold_s: For how long a crash has it held back.
-        held_at: Monotonic time of the first crash of the present bout; 0 while
-            it was never held back.
-        held_until: Monotonic time until which it is held back.
-        crashes: Crashed instances that the present hold goes by.
-        trial: Id of the request that passed as a trial last.
+        own_losses: Instances at which this router lost the request, with the
+            monotonic time of each loss.
+        peer_losses: Instances at which other routers lost it, with the
+            monotonic time at which each report was received.
+        hold_s: Length of the present hold in seconds, without jitter.
+        held_at: Monotonic time of the first crash of the present series; 0 if
+            the request was never held.
+        held_until: Monotonic time until which the request is refused.
+        crashes: Number of crashed instances on which the hold is based.
+        trial: Id of the request that was last let through as a trial.
     """
 
     own_losses: dict[str, float] = field(default_factory=dict)
@@ -78,16 +81,17 @@
     trial: str = ""
 
     def publishable_until(self, now: float) -> float:
-        """Return the monotonic time up to which its losses are told.
+        """Return the monotonic time up to which losses may be published.
 
-        One that was lost at several instances won't be answered at the next.
+        A request that was lost at several instances is unlikely to be answered
+        by the next one, so its losses are published without delay.
         """
         losses = len(self.own_losses.keys() | self.peer_losses.keys())
         return now if losses > 1 else now - PUBLISH_AFTER_S
 
     @property
     def newest_loss_at(self) -> float:
-        """Monotonic time of the last loss; long ago where none is left."""
+        """Monotonic time of the last loss; minus infinity without losses."""
         return max(
             [*self.own_losses.values(), *self.peer_losses.values()],
             default=-math.inf,
@@ -95,18 +99,19 @@
 
 
 class PoisonRequests:
-    """The requests that were lost at instances, by fingerprint.
+    """Detects poison requests and refuses them for a time.
 
     Attributes:
         directory: The upstream instances.
-        publish: Tells the other routers; returns whether they can know.
-        reach: Asks at an instance's address; returns who answered.
-        random: Source of draws.
-        suspects: The requests, the oldest first.
-        heard: What each other router told last.
-        told: What was told to them last.
-        counts: What was decided since the start, for the metrics.
-        due: Set when there is something that the others are to know at once.
+        publish: Publishes losses to the other routers; returns whether the
+            publication was stored.
+        check_address: Checks which instance answers at an instance's address.
+        random: Source of the jitter of holds.
+        suspects: Suspect requests by fingerprint, least recently lost first.
+        received: Losses in the latest report of each other router.
+        published: Losses in this router's latest publication.
+        counts: Decisions since the start, for the metrics.
+        publish_due: Set when losses are to be published without delay.
     """
 
     __slots__ = (
@@ -129,7 +134,16 @@
         check_address: Callable[[Instance], AddressCheck],
         source: random.Random,
     ) -> None:
-        """Start without suspects."""
+        """Initialize without suspect requests.
+
+        Args:
+            directory: The upstream instances.
+            publish: Publishes losses to the other routers; returns whether
+                the publication was stored.
+            check_address: Checks which instance answers at an instance's
+                address.
+            source: Source of the jitter of holds.
+        """
         self.directory = directory
         self.publish = publish
         self.check_address = check_address
@@ -142,10 +156,10 @@
         self._lock = threading.Lock()
 
     def holds(self, call: Call, workspace: str) -> bool:
-        """Whether a request is held back, as it crashes what runs it.
+        """Whether to refuse a request because it likely crashes instances.
 
-        Costs nothing while no request was lost. Once it was held back for
-        long enough, one passes as a trial.
+        The request is not hashed while there are no suspects. After a hold
+        ends, one copy of the request is let through as a trial.
         """
         if not self.suspects:
             return False
@@ -164,13 +178,17 @@
             suspect.held_until = now + TRIAL_S
             suspect.trial = call.id
             self.counts[Decision.TRIED] += 1
-        log.info("suspect tried", request=call.id, fingerprint=fingerprint)
+        log.info(
+            "suspect request let through as a trial",
+            request=call.id,
+            fingerprint=fingerprint,
+        )
         return False
 
     def is_held(self, call: Call, workspace: str) -> bool:
-        """Whether an admitted request is held back by now.
+        """Whether to stop an admitted request because of a hold since then.
 
-        The one that passes as a trial is not.
+        The request that was let through as a trial is never stopped.
         """
         if not self.suspects:
             return False
@@ -182,16 +200,18 @@
             if not self._update_hold(fingerprint, suspect):
                 return False
             self.counts[Decision.STOPPED] += 1
-        log.info("suspect stopped", request=call.id, fingerprint=fingerprint)
+        log.info(
+            "suspect request stopped", request=call.id, fingerprint=fingerprint
+        )
         return True
 
     def _record_let_through(
         self, call: Call, fingerprint: str, suspect: SuspectRequest
     ) -> None:
-        """Tell that a request goes on that was lost before, and why."""
+        """Count and log a request that is let through despite losses."""
         self.counts[Decision.LET_THROUGH] += 1
         log.info(
-            "suspect let through",
+            "suspect request let through",
             request=call.id,
             fingerprint=fingerprint,
             own=sorted(suspect.own_losses),
@@ -200,45 +220,48 @@
         )
 
     def lost(self, call: Call, workspace: str, instance: str) -> bool:
-        """Note that an instance ended the connection of a request it had.
+        """Record that an instance closed the connection of a running request.
 
         Args:
             call: The request.
-            workspace: Its workspace.
-            instance: The instance, by its start.
+            workspace: The request's workspace.
+            instance: Id of the instance's incarnation.
 
         Returns:
-            Whether the request is to be run no more.
+            Whether the request must not be attempted again.
         """
         fingerprint = fingerprint_of(call, workspace)
         with self._lock:
             suspect = self._suspect(fingerprint)
             suspect.own_losses[instance] = time.monotonic()
             own = dict(suspect.own_losses)
-            known = len(own.keys() | suspect.peer_losses.keys())
+            losses = len(own.keys() | suspect.peer_losses.keys())
             self.counts[Decision.NOTED] += 1
         log.info(
             "loss",
             request=call.id,
             fingerprint=fingerprint,
             upstream=instance,
-            known=known,
+            known=losses,
         )
-        if known > 1:
+        if losses > 1:
             self._verify(own.items())
             self.publish_due.set()
         with self._lock:
             return self._update_hold(fingerprint, suspect)
 
     def passed_over(self, call: Call, instance: str, why: Decision) -> None:
-        """Tell of an attempt that broke and does not count as a loss."""
+        """Count and log a failed attempt that does not count as a loss."""
         self.counts[why] += 1
         log.info(
-            "loss passed over", request=call.id, upstream=instance, why=why
+            "failed attempt not counted as a loss",
+            request=call.id,
+            upstream=instance,
+            why=why,
         )
 
     def answered(self, call: Call, workspace: str) -> None:
-        """Note that an instance ran a request to a whole answer."""
+        """Drop the losses of a request that got a complete answer."""
         if not self.suspects:
             return
         fingerprint = fingerprint_of(call, workspace)
@@ -248,7 +271,7 @@
                 return
             self.counts[Decision.CLEARED] += 1
         log.info(
-            "suspect cleared",
+            "suspect request cleared",
             request=call.id,
             fingerprint=fingerprint,
             own=sorted(found.own_losses),
@@ -256,33 +279,33 @@
         )
 
     def receive(self, router: str, losses: Losses) -> None:
-        """Take what another router told; only what is new in it counts."""
+        """Add losses that another router did not report before."""
         with self._lock:
             before = self.received.pop(router, {})
             if losses:
                 self.received[router] = losses
-            heard: list[str] = []
+            changed: list[str] = []
             for fingerprint, instances in losses.items():
                 new = set(instances) - set(before.get(fingerprint, ()))
                 if new:
                     suspect = self._suspect(fingerprint)
                     suspect.peer_losses |= dict.fromkeys(new, time.monotonic())
                     self._update_hold(fingerprint, suspect)
-                    heard.append(fingerprint)
-            self.counts[Decision.HEARD] += len(heard)
-        if heard:
+                    changed.append(fingerprint)
+            self.counts[Decision.HEARD] += len(changed)
+        if changed:
             log.info(
                 "losses heard",
                 router=router,
-                requests=len(heard),
-                fingerprints=heard[-MAX_LOGGED:],
+                requests=len(changed),
+                fingerprints=changed[-MAX_LOGGED:],
             )
 
     def recover(self, losses: Losses) -> None:
-        """Take what an earlier start of this router told as its own.
+        """Restore the losses that an earlier start of this router published.
 
-        The others are told again: some may not know it, and this start's
-        words go in place of it.
+        They are published again: this start's report replaces the earlier one,
+        which some routers may not have received.
         """
         if not losses:
             return
@@ -292,21 +315,21 @@
                 own = self._suspect(fingerprint).own_losses
                 for name in instances:
                     own.setdefault(name, now)
-        log.info("losses recovered", requests=len(losses))
+        log.info("losses of an earlier start restored", requests=len(losses))
 
     def run(self, stopping: threading.Event) -> None:
-        """Look for what is to be forgotten and told until the daemon stops."""
+        """Expire and publish losses until the daemon stops."""
         while not stopping.wait(PUBLISH_PAUSE_S):
             self.publish_due.wait(PUBLISH_EVERY_S - PUBLISH_PAUSE_S)
             self.publish_due.clear()
             try:
                 self.round()
             except Exception:
-                # Without it no crash would be told to the others any more.
-                log.exception("round failed")
+                # If this task ended, no losses would be published any more.
+                log.exception("publication of losses failed")
 
     def round(self) -> None:
-        """Forget what is old, and tell the others what is new."""
+        """Drop expired suspects, and publish new losses."""
         now = time.monotonic()
         with self._lock:
             for fingerprint, suspect in list(self.suspects.items()):
@@ -331,20 +354,20 @@
             self.published = newest
 
     def held(self) -> int:
-        """Return how many requests are held back."""
+        """Return the number of requests refused at present."""
         now = time.monotonic()
         with self._lock:
             return sum(one.held_until > now for one in self.suspects.values())
 
     def republish(self) -> None:
-        """Tell the others all that counts, since the store may have lost it."""
+        """Publish all losses again, since the store may have lost them."""
         self.published = {}
 
     def _has_unpublished(self, losses: Losses) -> bool:
-        """Whether losses hold more than what was told.
+        """Whether losses contain any that were not published before.
 
-        What was answered since is left out when there is other news: a call
-        for it alone would cost as much and change nothing.
+        Losses that were cleared since are withdrawn with the next publication.
+        A publication for that alone would cost a call and change nothing.
         """
         return any(
             set(instances) - set(self.published.get(fingerprint, ()))
@@ -352,10 +375,10 @@
         )
 
     def _verify(self, losses: Iterable[tuple[str, float]]) -> None:
-        """Learn of instances that lost a request whether they crashed.
+        """Check instances that lost a request and whose state is unknown.
 
-        Without this, nothing tells where no other request goes there. What
-        stays unclear is asked again in the next round.
+        Without this check there is no evidence about an instance that gets no
+        other request. If the result is unclear, the next round checks again.
 
         Args:
             losses: The instances, with the monotonic times of the losses.
@@ -367,14 +390,14 @@
             if instance is not None:
                 responder = self._check_address(instance)
                 log.info(
-                    "loss verified",
+                    "address checked after a loss",
                     upstream=name,
                     answers=responder,
                     lost_s=round(time.monotonic() - lost_at, 3),
                 )
 
     def _check_address(self, instance: Instance) -> Responder:
-        """Ask at an instance's address, and take what that shows of it."""
+        """Check an instance's address, and record the result."""
         asked_at = time.monotonic()
         found = self.check_address(instance)
         match found.responder:
@@ -388,9 +411,9 @@
         return found.responder
 
     def _drop_survived(self, suspect: SuspectRequest) -> None:
-        """Drop losses at instances that lived on.
+        """Drop losses at instances that survived them.
 
-        They would count as crashes once these leave, as planned.
+        The losses would count as crashes once these instances leave as planned.
         """
         for losses in (suspect.own_losses, suspect.peer_losses):
             for name, lost_at in list(losses.items()):
@@ -398,7 +421,7 @@
                     del losses[name]
 
     def _suspect(self, fingerprint: str) -> SuspectRequest:
-        """Return the record of a request, as the newest one."""
+        """Return a request's record, created if missing, as the newest."""
         suspect = self.suspects.pop(fingerprint, None) or SuspectRequest()
         self.suspects[fingerprint] = suspect
         while len(self.suspects) > MAX_SUSPECTS:
@@ -406,13 +429,13 @@
         return suspect
 
     def _update_hold(self, fingerprint: str, suspect: SuspectRequest) -> bool:
-        """Hold a request back, or for longer, as crashes come to be known.
+        """Start or extend a hold when the number of crashes has grown.
 
-        It goes by what is known now: a loss may turn out to be a crash long
-        after it was noted, as the instance's entry runs out.
+        The losses are evaluated again each time: a loss may turn out to be a
+        crash long after it was recorded, when the instance's entry expires.
 
         Returns:
-            Whether enough speaks against it.
+            Whether the crashes suffice for a hold.
         """
         crashes = len(self._crashes(suspect))
         grown, suspect.crashes = crashes > suspect.crashes, crashes
@@ -423,17 +446,18 @@
         return True
 
     def _start_hold(self, fingerprint: str, suspect: SuspectRequest) -> None:
-        """Hold a request back from now on.
+        """Refuse a request from now on.
 
-        A crash long after the one that it is held for is a trial's, here or at
-        another router: the next trial comes later.
+        A crash long after the one that started the hold comes from a trial of
+        this or another router, so the next hold is longer.
         """
         now = time.monotonic()
         if now >= suspect.held_at + IN_FLIGHT_CRASH_S:
             if suspect.held_at:
                 suspect.hold_s = min(2 * suspect.hold_s, MAX_HOLD_S)
             suspect.held_at = now
-        # Spread, so that one router's trial tells the others before theirs.
+        # Jitter lets the result of one router's trial reach the other routers
+        # before they start theirs.
         hold_s = suspect.hold_s * (1.0 + self.random.random())
         suspect.held_until = max(suspect.held_until, now + hold_s)
         self.counts[Decision.HELD] += 1
@@ -446,28 +470,32 @@
         )
 
     def _crashes(self, suspect: SuspectRequest) -> set[str]:
-        """Return the instances that crashed; tellers saw that theirs did."""
-        told = {
+        """Return the instances that crashed.
+
+        Other routers publish crashes only, so a loss that they reported counts
+        unless its instance shows signs of life here.
+        """
+        peer_crashes = {
             name
             for name, heard_at in suspect.peer_losses.items()
             if not self._seems_alive(name, heard_at)
         }
-        return told.union(self._crashed(suspect.own_losses))
+        return peer_crashes.union(self._crashed(suspect.own_losses))
 
     def _publishable_crashes(
         self, suspect: SuspectRequest, now: float
     ) -> list[str]:
-        """Return the crashed instances that the others are to know of."""
+        """Return the crashed instances to publish."""
         return self._crashed(suspect.own_losses, suspect.publishable_until(now))
 
     def _crashed(
         self, losses: dict[str, float], before: float = math.inf
     ) -> list[str]:
-        """Return the instances that crashed when they lost a request.
+        """Return the instances that crashed when they lost the request.
 
         Args:
             losses: The instances, with the monotonic times of the losses.
-            before: Monotonic time up to which losses count.
+            before: Latest monotonic time of a loss to include.
         """
         return sorted(
             name
@@ -476,7 +504,7 @@
         )
 
     def _has_crashed(self, name: str, lost_at: float) -> bool:
-        """Whether a start crashed when it lost a request."""
+        """Whether an instance crashed when it lost a request."""
         return self._crash_verdict(name, lost_at) is CrashVerdict.CRASHED
 
     def _seems_alive(self, name: str, since: float) -> bool:
@@ -490,7 +518,10 @@
 
 
 def fingerprint_of(call: Call, workspace: str) -> str:
-    """Return what repeats of a request have in common: caller, path, body."""
+    """Return the hash that all copies of a request share.
+
+    It covers the workspace, the method, the target and the body.
+    """
     if not call.fingerprint:
         call.fingerprint = digest(
             workspace.encode(), call.method, call.target, call.body
--- a/lacewingdock/components/suspects/address_check.py
+++ b/lacewingdock/components/suspects/address_check.py
@@ -1,4 +1,4 @@
-"""Support for asking at an instance's address which start answers there."""
+"""Support for checking which instance answers at an address."""
 
 import time
 from dataclasses import dataclass
@@ -18,11 +18,12 @@
 
 @dataclass(slots=True, frozen=True)
 class AddressCheck:
-    """What was found at an address.
+    """Result of a request to an instance's address.
 
     Attributes:
-        look: Who answered.
-        answered_by: Id of the other instance, where it said it.
+        responder: Who answered.
+        answered_by: Id of the other instance that answered; empty if it sent
+            none, or if no other instance answered.
     """
 
     responder: Responder
@@ -30,11 +31,12 @@
 
 
 def check_address(entry: UpstreamEntry, path: str) -> AddressCheck:
-    """Ask at an instance's address, naming the instance.
+    """Send a request to an instance's address that names the expected instance.
 
     Args:
-        entry: The start that is asked for.
-        path: Path of a question that needs no right to be run.
+        entry: The expected instance and its address.
+        path: Path of a request that instances answer without running anything,
+            such as a health check.
     """
     until = time.monotonic() + ADDRESS_CHECK_TIMEOUT_S
     try:
--- a/lacewingdock/components/suspects/const.py
+++ b/lacewingdock/components/suspects/const.py
@@ -1,43 +1,44 @@
-"""Constants of the requests that crash upstream instances."""
+"""Constants for detecting poison requests."""
 
 from typing import Final
 
-# How long an instance has to answer the question whether it crashed.
+# Timeout in seconds of the check which start answers at an instance's address.
 ADDRESS_CHECK_TIMEOUT_S: Final = 0.2
-# Crashed instances from which a request is held back. An honest request is in
-# flight at one crash, and with bad luck at a second one that follows; at three
-# different ones, without an answer between, it is likely the cause.
+# Crashed instances after which a request is refused. A harmless request may be
+# in flight at one crash and, by bad luck, at a second one; a request that was
+# in flight at three different crashes without an answer between is likely the
+# cause.
 CRASHES_TO_HOLD: Final = 3
-# For how long it is held back then, up to twice that by chance; twice as long
-# again after each trial that fails.
-# Where the instances crashed for another cause, one request that passes after
-# this is answered, and all pass again.
+# Shortest and longest hold in seconds. A hold is lengthened by random jitter to
+# at most twice its length, and doubles after each failed trial. If the crashes
+# had another cause, the trial after the hold is answered and ends the hold.
 HOLD_S: Final = 20.0
 MAX_HOLD_S: Final = 600.0
-# Crashes within this time of the first one are of copies that were under way:
-# the evidence takes two seconds to all routers, and a request may wait a while.
+# Crashes within this many seconds of the hold's first crash are attributed to
+# copies of the request already in flight: evidence takes two seconds to reach
+# all routers, and a request may wait in a queue.
 IN_FLIGHT_CRASH_S: Final = 10.0
-# How long the request that passes then is given to show what it does.
+# Seconds for which a trial request runs before another trial is let through.
 TRIAL_S: Final = 5.0
-# An instance that sent anything this long after it lost a request has not
-# crashed; what other connections had already received may be read a little
-# later than the loss.
+# Seconds after a loss from which received bytes show that the instance lives.
+# Bytes that other connections had already received may be read a little later
+# than the loss.
 LATE_READ_MARGIN_S: Final = 0.1
-# A loss is told to the other routers after this, unless the request was
-# answered meanwhile: most are, at another instance, and need no write.
+# Seconds before a loss is published to the other routers. Most lost requests
+# are answered by another instance within this time and need no write.
 PUBLISH_AFTER_S: Final = 0.4
-# How often it is looked whether there is something to tell: what was lost at
-# one crash goes out in one call. With the wait above and the way through the
-# store, all routers know within about two seconds.
+# Interval in seconds between publications, so that all losses of one crash go
+# out in one call. Including the wait above and propagation through the store,
+# all routers have the losses within about two seconds.
 PUBLISH_EVERY_S: Final = 0.7
-# The shortest time between two calls that tell of losses: those of a request
-# that was lost before are told at once.
+# Least seconds between two publications. A request that was lost before is
+# published without waiting for the interval above.
 PUBLISH_PAUSE_S: Final = 0.2
-# A request that does not come again is forgotten after this.
+# Seconds after its last loss at which a suspect request is dropped.
 SUSPECT_EXPIRY_S: Final = 1200.0
-# Requests that are remembered, of about 400 bytes each.
+# Maximum number of suspect requests kept, of about 400 bytes each.
 MAX_SUSPECTS: Final = 1000
-# Requests that are told to others at most, of about 100 bytes each.
+# Maximum number of requests published, of about 100 bytes each.
 MAX_PUBLISHED: Final = 200
-# Requests that a line of the log names at most, the latest.
+# Maximum number of requests named in one log line; the latest are named.
 MAX_LOGGED: Final = 8
--- a/lacewingdock/components/suspects/crash_verdict.py
+++ b/lacewingdock/components/suspects/crash_verdict.py
@@ -1,8 +1,9 @@
-"""Support for telling whether an instance crashed when it lost a request.
+"""Support for deciding whether an instance crashed when it lost a request.
 
-An address proves nothing: a process that is going down, a host that queues
-connections for one that is gone, and the next instance there all take a
-connection. Only an answer that the very start gave proves that it lives.
+An accepted connection proves nothing: a process that is shutting down, a host
+that queues connections for a process that has exited, and the next instance at
+the same address all accept one. Only an answer from the same incarnation proves
+that the instance lives.
 """
 
 from enum import StrEnum
@@ -12,13 +13,13 @@
 
 
 class Responder(StrEnum):
-    """What a question at an instance's address met.
+    """Who answered a request to an instance's address.
 
     Attributes:
-        ITSELF: The start that was asked for answered.
-        ANOTHER: Another instance did; the one that was asked for is gone.
-        NOTHING: No connection was taken.
-        UNCLEAR: A connection was taken, and no answer came in time.
+        ITSELF: The expected incarnation answered.
+        ANOTHER: Another instance answered; the expected one is gone.
+        NOTHING: No connection was accepted.
+        UNCLEAR: A connection was accepted, but no answer came in time.
     """
 
     ITSELF = "itself"
@@ -28,14 +29,15 @@
 
 
 class CrashVerdict(StrEnum):
-    """What became of an instance that lost a request.
+    """Whether an instance crashed when it lost a request.
 
     Attributes:
-        PROVED: It answered what was sent after the loss: it did not crash.
-        LIVES: It sent bytes since, which may have come before and been read
-            late; a connection that it does not take outweighs them.
-        CRASHED: It is gone, or took no connection.
-        UNKNOWN: Nothing shows either.
+        SURVIVED: The instance answered a request that was sent after the loss.
+        LIKELY_ALIVE: Bytes were read from the instance after the loss. They
+            may have arrived before it and been read late, so a connection
+            that failed afterwards outweighs them.
+        CRASHED: The instance is gone, or accepted no connection.
+        UNKNOWN: There is no evidence either way.
     """
 
     SURVIVED = "proved"
@@ -45,11 +47,11 @@
 
 
 def judge_crash(instance: Instance | None, lost_at: float) -> CrashVerdict:
-    """Return what became of an instance.
+    """Return whether an instance crashed when it lost a request.
 
     Args:
-        instance: The start that lost a request; None if it is gone.
-        lost_at: Monotonic time at which the loss was noted.
+        instance: The incarnation that lost the request; None if it is gone.
+        lost_at: Monotonic time at which the loss was recorded.
     """
     if instance is None:
         return CrashVerdict.CRASHED
--- a/lacewingdock/components/suspects/decision.py
+++ b/lacewingdock/components/suspects/decision.py
@@ -1,25 +1,28 @@
-"""Support for naming what is decided about lost requests."""
+"""Support for counting decisions about lost requests."""
 
 from enum import StrEnum
 
 
 class Decision(StrEnum):
-    """What was decided about a lost request, for the metrics.
+    """Decisions and observations about lost requests, as metric labels.
 
     Attributes:
-        NOTED: A loss was noted.
-        NOT_ENDED: An attempt broke with its connection standing; no loss.
-        MET_ITSELF: The instance answered after the loss.
-        MET_ANOTHER: Another one answered at its address.
-        MET_NOTHING: It took no connection.
-        MET_UNCLEAR: It took one and did not answer.
-        HEARD: Another router told a loss.
-        CLEARED: The request was answered: nothing speaks against it any more.
-        LET_THROUGH: It was lost before, and goes on.
-        HELD: It began to be held back, or for longer.
-        REFUSED: It was refused, since it is held back.
-        STOPPED: It was admitted before, and not sent any more.
-        TRIED: It passed as a trial.
+        NOTED: A loss was recorded.
+        NOT_ENDED: An attempt failed while its connection stayed open, which
+            is no loss.
+        MET_ITSELF: The instance that lost the request answered the address
+            check.
+        MET_ANOTHER: Another instance answered at its address.
+        MET_NOTHING: Nothing accepted a connection at its address.
+        MET_UNCLEAR: A connection was accepted, but no answer came in time.
+        HEARD: Another router reported a loss.
+        CLEARED: The request was answered, so its losses were discarded.
+        LET_THROUGH: The request was lost before, but too rarely to be refused.
+        HELD: A hold on the request began or was extended.
+        REFUSED: The request was refused because of a hold.
+        STOPPED: The request was admitted before its hold, and is no longer
+            sent to an instance.
+        TRIED: The request was let through as a trial.
     """
 
     NOTED = "noted"
--- a/tests/components/shifts/__init__.py
+++ b/tests/components/shifts/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of shifts."""
+"""Tests of roll-outs."""
--- a/tests/components/shifts/conftest.py
+++ b/tests/components/shifts/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the roll-outs' tests."""
+"""Fixtures for the tests of roll-outs."""
 
 import pytest
 
--- a/tests/components/shifts/fakes.py
+++ b/tests/components/shifts/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes: the platform's store, and routers that share a roll-out."""
+"""Fakes of the platform's store and of routers that share a roll-out."""
 
 from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.shifts import shift as shift_module
@@ -16,7 +16,7 @@
 
 
 class Store:
-    """The platform's store: orders and reports, with a revision."""
+    """The platform's store with one order and the reports, by revision."""
 
     def __init__(self):
         self.order = StoredObject(
@@ -29,7 +29,7 @@
         self.down = False
 
     def write(self, _kind, name, spec, expect, _purpose):
-        """Write a report."""
+        """Write a report if its stored revision is the expected one."""
         if self.down:
             raise unavailable("down", RAN_UNKNOWN)
         known = self.reports.get(name)
@@ -42,7 +42,7 @@
     write_over = ObjectApi.write_over
 
     def write_status(self, _kind, _name, status, expect, _purpose):
-        """Write what became of the order."""
+        """Write the order's status if its revision is the expected one."""
         if self.down:
             raise unavailable("down", RAN_UNKNOWN)
         if self.order.revision != expect:
@@ -53,7 +53,7 @@
 
 
 class Clock:
-    """Boot time that the test moves."""
+    """Fake boot time, advanced by the test."""
 
     def __init__(self, monkeypatch):
         self.now = 1000.0
@@ -61,7 +61,7 @@
 
 
 def router(store, name="r-1", entries=("v1", "v1", "v2", "v2")):
-    """Return a router's roll-outs, with the order seen."""
+    """Return a router's roll-outs, with the store's order applied."""
     directory = Directory()
     for index, version in enumerate(entries):
         directory.take(
@@ -79,12 +79,12 @@
     )
     shifts = Shifts(host, f"{name}-inc", store, directory, lambda: 2)
     shifts.settled["svc"] = "v1"
-    see(shifts, store)
+    sync(shifts, store)
     return shifts
 
 
-def see(shifts, store):
-    """Let a router see the order and all reports."""
+def sync(shifts, store):
+    """Apply the stored order and all stored reports to a router."""
     shifts.take(store.order)
     for stored in store.reports.values():
         shifts.apply_report(
--- a/tests/components/shifts/test_limited_instances.py
+++ b/tests/components/shifts/test_limited_instances.py
@@ -1,4 +1,4 @@
-"""Tests of a roll-out to instances that take few requests."""
+"""Tests of a roll-out to instances with limited request rates."""
 
 import pytest
 
@@ -10,7 +10,7 @@
     ("taking", "goes_to_new"),
     [
         ({"i-0", "i-1", "i-2", "i-3"}, True),
-        # One instance of the new version is enough.
+        # A single available instance of the new version suffices.
         ({"i-0", "i-1", "i-3"}, True),
         ({"i-0", "i-1"}, False),
     ],
@@ -18,10 +18,11 @@
 def test_new_version_without_a_turn_leaves_requests_to_the_old(
     clock, taking, goes_to_new
 ):
-    """Guards against: requests refused for which the old version has places.
+    """Guards against refusals while the old version has free slots.
 
-    Sequence: the instances of a new version name limits; a request that is
-    drawn for it finds no turn there, and may go nowhere else.
+    The new version's instances limit their request rates. A request selected
+    for the new version finds all of them at their limit, and used to be allowed
+    nowhere else.
     """
     shifts = router(Store())
     shift = shifts.running["svc"]
--- a/tests/components/shifts/test_restored_orders.py
+++ b/tests/components/shifts/test_returned.py
@@ -1,4 +1,4 @@
-"""Tests of roll-outs whose store comes back from an older copy."""
+"""Tests of roll-outs whose store is restored from an older copy."""
 
 import pytest
 
@@ -13,12 +13,12 @@
     DURATION_S,
     Store,
     router,
-    see,
+    sync,
 )
 
 
-class Steady:
-    """Monotonic time that the test moves."""
+class MonotonicClock:
+    """Fake monotonic time, advanced by the test."""
 
     def __init__(self, monkeypatch):
         self.now = 50.0
@@ -29,23 +29,23 @@
 
 @pytest.fixture
 def steady(monkeypatch):
-    return Steady(monkeypatch)
+    return MonotonicClock(monkeypatch)
 
 
 def order(era, count, target="v2", state=None):
-    """Return an order as the store shows it."""
+    """Return a stored order with a revision of an era."""
     spec = {"service": "svc", "target": target, "duration_s": DURATION_S}
     status = {"state": state, "target": target} if state else None
     return StoredObject("svc", revision_of(era, count), spec, status)
 
 
-def copy_of(store, shown_order):
-    """Have the store show an order, and count on from it."""
+def restore(store, shown_order):
+    """Restore the store to an order and its revision."""
     store.order, store.revision = shown_order, shown_order.revision
 
 
-def ended(store, state):
-    """Return a router that knows that an order ended, in an era."""
+def router_after_end(store, state):
+    """Return a router that has applied an order's end in the first era."""
     store.order = order(1, 30, state=state)
     found = router(store)
     found.settled["svc"] = "v1"
@@ -55,18 +55,18 @@
 
 @pytest.mark.parametrize("state", [None, "running"])
 @pytest.mark.parametrize("end", ["rolled_back", "completed"])
-def test_end_that_the_store_lost_stands_and_is_written_again(
+def test_end_that_the_store_lost_is_kept_and_written_again(
     clock, steady, state, end
 ):
-    """Symptom: a version that was rolled back gets requests again.
+    """Guards against requests to a version that was rolled back.
 
-    Sequence: a router writes that an order ended; the store comes back from a
-    copy of before. Cause: the order was taken for one under way.
+    A router writes an order's final status, and the store is restored from an
+    earlier copy, in which the order seems to be under way.
     """
     store = Store()
-    shifts = ended(store, end)
-    copy_of(store, order(2, 27, state=state))
-    see(shifts, store)
+    shifts = router_after_end(store, end)
+    restore(store, order(2, 27, state=state))
+    sync(shifts, store)
     assert not shifts.running
     steady.now += 30.0
     shifts.round()
@@ -83,57 +83,57 @@
     clock, steady
 ):
     store = Store()
-    shifts = ended(store, "rolled_back")
-    copy_of(store, order(2, 27))
-    see(shifts, store)
-    copy_of(store, order(2, 28, state="rolled_back"))
-    see(shifts, store)
+    shifts = router_after_end(store, "rolled_back")
+    restore(store, order(2, 27))
+    sync(shifts, store)
+    restore(store, order(2, 28, state="rolled_back"))
+    sync(shifts, store)
     steady.now += 30.0
     shifts.round()
     assert shown(store.order.revision) == "2.28"
 
 
 def test_new_order_to_the_target_of_an_ended_one_is_begun(clock, steady):
-    """Symptom: a version is never rolled out a second time."""
+    """Guards against a version that can never be rolled out again."""
     store = Store()
-    shifts = ended(store, "rolled_back")
+    shifts = router_after_end(store, "rolled_back")
     shifts.store_doubtful = lambda: False
-    copy_of(store, order(2, 40))
-    see(shifts, store)
+    restore(store, order(2, 40))
+    sync(shifts, store)
     assert shifts.running["svc"].order.target == "v2"
 
 
 def test_order_before_the_last_one_waits_for_that_to_be_written_again(
     clock, steady
 ):
-    """Symptom: a roll-out under way begins anew, or an older one goes on.
+    """Guards against restarting a roll-out or resuming an older one.
 
-    Sequence: the store comes back from a copy that shows the order before the
-    last one, which the operator writes again. Cause: the shown one was taken.
+    The store is restored from a copy with the order before the last one, which
+    used to be applied before the operator wrote the last one again.
     """
     store = Store()
     shifts = router(store)
-    copy_of(store, order(1, 30))
-    see(shifts, store)
+    restore(store, order(1, 30))
+    sync(shifts, store)
     shift = shifts.running["svc"]
     shifts.store_doubtful = lambda: True
-    copy_of(store, order(2, 21, "v1", "completed"))
-    see(shifts, store)
+    restore(store, order(2, 21, "v1", "completed"))
+    sync(shifts, store)
     assert shifts.running["svc"] is shift
-    copy_of(store, order(2, 24))
-    see(shifts, store)
+    restore(store, order(2, 24))
+    sync(shifts, store)
     shifts.store_doubtful = lambda: False
     shifts.round()
     assert shifts.running["svc"] is shift
     assert shown(shift.order.revision).startswith("2.")
 
 
-def test_order_that_stays_after_the_return_is_gone_by(clock, steady):
-    """Symptom: an order that came right after the return is never seen."""
+def test_deferred_order_is_applied_after_the_restoration(clock, steady):
+    """Guards against losing an order placed just after a restoration."""
     store = Store()
-    shifts = ended(store, "completed")
-    copy_of(store, order(2, 27, "v1"))
-    see(shifts, store)
+    shifts = router_after_end(store, "completed")
+    restore(store, order(2, 27, "v1"))
+    sync(shifts, store)
     assert not shifts.running
     steady.now += 2.0
     shifts.store_doubtful = lambda: False
@@ -145,11 +145,11 @@
 @pytest.mark.parametrize(
     ("incarnation", "stage"), [("a", Stage.ALL), ("b", Stage.CANARY)]
 )
-def test_older_report_of_a_start_is_left(clock, incarnation, stage):
-    """Symptom: an order ends late, as a router counts as behind.
+def test_older_report_of_an_incarnation_is_ignored(clock, incarnation, stage):
+    """Guards against a late completion after the store is restored.
 
-    Sequence: the store comes back with an older report of it. Cause: the
-    report that came last was taken for the newest.
+    The store returns an older report, in which a router counts as behind. The
+    report received last used to be treated as the newest.
     """
     store = Store()
     shifts = router(store)
--- a/tests/components/shifts/test_schedule.py
+++ b/tests/components/shifts/test_schedule.py
@@ -1,4 +1,4 @@
-"""Tests of what a roll-out gives to the new version, and when."""
+"""Tests of the schedule of the new version's share."""
 
 import pytest
 
@@ -19,8 +19,8 @@
 @pytest.mark.parametrize("duration_s", DURATIONS_S)
 @pytest.mark.parametrize("exposure", EXPOSURES)
 @pytest.mark.parametrize("instances", INSTANCES)
-def test_all_of_it_is_under_the_bound(duration_s, exposure, instances):
-    """A version that turns bad at any moment had no more than it may."""
+def test_exposure_of_the_schedule_is_bounded(duration_s, exposure, instances):
+    """The exposure up to any moment stays within the allowed exposure."""
     plan = schedule(duration_s, exposure, instances)
     canary = plan.full_load_at_s * exposure * CANARY_PART
     loaded = (plan.move_at_s - plan.full_load_at_s) * plan.full_load_share
@@ -35,13 +35,13 @@
     [
         (20.0, 0.15, 9, True),
         (24.0, 0.0975, 37, True),
-        # The exposure does not suffice for the load of two of four.
+        # The exposure does not suffice for the full load of two of four.
         (20.0, 0.15, 4, False),
         (20.0, 0.15, 0, False),
         (4.0, 0.15, 9, False),
     ],
 )
-def test_a_few_are_loaded_where_it_is_affordable(
+def test_full_load_only_where_the_exposure_suffices(
     duration_s, exposure, instances, loads
 ):
     plan = schedule(duration_s, exposure, instances)
--- a/tests/components/shifts/test_shift.py
+++ b/tests/components/shifts/test_shift.py
@@ -1,4 +1,4 @@
-"""Tests of a roll-out: exposure, sessions, judgement, its end."""
+"""Tests of a roll-out's exposure, sessions, evaluation and end."""
 
 import time
 
@@ -15,8 +15,8 @@
     good_answers,
     router,
     sample,
-    see,
     share_of_new,
+    sync,
 )
 
 
@@ -34,7 +34,7 @@
     assert low <= share_of_new(shifts) <= high
 
 
-def test_without_answers_it_does_not_move_on(clock):
+def test_without_answers_the_stage_does_not_advance(clock):
     shifts = router(Store())
     clock.now += DURATION_S * 0.95
     shifts.round()
@@ -42,12 +42,12 @@
 
 
 @pytest.mark.parametrize("exposure", [0.05, 0.0975, 0.15, 0.5])
-def test_all_that_a_version_ever_gets_is_under_the_bound(clock, exposure):
-    """Symptom: a version that turns bad late had 47 in 100 requests, not 15.
+def test_total_exposure_is_bounded(clock, exposure):
+    """Guards against exposing 47 instead of 15 in 100 requests.
 
-    It fails from 0.58 of the order's time on; all requests had moved by 0.60
-    and the order was completed. Cause: a version that was good so far was
-    taken for good.
+    A version fails from 0.58 of the order's time on. All requests had moved by
+    0.60 and the order was completed, since a version that had been good so far
+    was considered good.
     """
     store = Store()
     shifts = router(store)
@@ -64,9 +64,10 @@
 
 
 def test_without_an_order_a_new_version_gets_nothing():
-    """Symptom: a version gets traffic before its order is seen.
+    """Guards against traffic to a version before its order is read.
 
-    Its instances are listed a moment earlier. Cause: any version was taken.
+    Its instances are listed a moment before the order, and any listed version
+    used to be allowed.
     """
     store = Store()
     shifts = router(store)
@@ -113,7 +114,7 @@
     ids=["errors", "slow"],
 )
 def test_bad_version_is_rolled_back(clock, bad, monkeypatch):
-    """A handful of bad answers, far below the 50 that start the bound."""
+    """Six bad answers suffice; the rollback bound starts at the 50th."""
     store = Store()
     shifts = router(store)
     good_answers(shifts)
@@ -127,11 +128,11 @@
 
 
 def test_version_that_turns_bad_late_is_found(clock, monkeypatch):
-    """Symptom: a version that fails half of its requests is completed.
+    """Guards against completing a version that fails half of its requests.
 
-    It answers well for most of the order's time, while the old version loses
-    instances; then it fails. Cause: the good answers from before outweighed
-    the bad ones, and twice the old version's failures were tolerated.
+    The version answers well for most of the order's time, while the old one
+    loses instances, and then fails. The earlier good answers outweighed the bad
+    ones, and twice the old version's share of failures was tolerated.
     """
     store = Store()
     shifts = router(store)
@@ -182,9 +183,10 @@
 
 
 def test_crash_counts_once(clock):
-    """Symptom: a good version is rolled back because one instance crashed.
+    """Guards against rolling back a good version after one crash.
 
-    All that ran there fails at once. Cause: each was taken for evidence.
+    All requests that run on the instance fail at once, and each used to count
+    as a separate bad answer.
     """
     store = Store()
     shifts = router(store)
@@ -206,15 +208,15 @@
         evidence.bad_instances.add(instance)
     first.round()
     assert store.order.status["state"] == "running"
-    see(second, store)
+    sync(second, store)
     second.round()
     assert store.order.status["state"] == "rolled_back"
 
 
 def test_evidence_of_a_router_that_the_store_turns_away(clock):
-    """Symptom: each router has to see four bad answers by itself.
+    """Guards against each router needing four bad answers of its own.
 
-    The store turns two of three away; their reports reach nobody.
+    The store rejects two of three routers, so their reports are not stored.
     """
     store = Store()
     cut, other = router(store, "r-1"), router(store, "r-2")
@@ -266,7 +268,7 @@
     first, second = router(store, "r-1"), router(store, "r-2")
     good_answers(first)
     second.round()
-    see(first, store)
+    sync(first, store)
     for moment in (0.9, 0.925, 0.95):
         clock.now = 1000 + DURATION_S * moment
         first.round()
@@ -274,13 +276,13 @@
 
 
 def test_not_completed_while_reports_may_be_missing(clock, monkeypatch):
-    """Symptom: requests on the old version are cut as an outage ends.
+    """Guards against cutting requests on the old version after an outage.
 
-    Sequence: all requests move; the store answers nobody for longer than a
-    report counts. At its return a router with nothing left on the old version
-    sees no report that counts, and completes the roll-out, while another
-    router still has a request there. Cause: routers that could not report
-    counted as gone.
+    All requests have moved, and the store is unavailable for longer than a
+    report counts as live. When it returns, a router without requests on the old
+    version finds no live report and completes the roll-out, while another
+    router still has a request there: routers that could not report counted as
+    gone.
     """
     store = Store()
     first, second = router(store, "r-1"), router(store, "r-2")
@@ -290,7 +292,7 @@
     for moment in (0.9, 0.925, 0.93):
         clock.now = 1000 + DURATION_S * moment
         second.round()
-        see(first, store)
+        sync(first, store)
         first.round()
     assert first.running["svc"].stage is Stage.ALL
     since = time.monotonic()
@@ -299,13 +301,13 @@
     first.store_doubtful = lambda: True
     first.round()
     assert store.order.status["state"] == "running"
-    # Reports are written again, and say what runs.
+    # The next reports include the request on the old version.
     second.round()
-    see(first, store)
+    sync(first, store)
     first.store_doubtful = lambda: False
     first.round()
     assert store.order.status["state"] == "running"
-    # Its deadline comes whether or not the store was away.
+    # The deadline holds even if the store was unavailable.
     first.store_doubtful = lambda: True
     clock.now = 1000 + DURATION_S * 0.96
     first.round()
@@ -316,13 +318,13 @@
     ("routers", "age_s", "lives"),
     [(2, 4.9, True), (2, 5.1, False), (1200, 30.0, True), (1200, 40.0, False)],
 )
-def test_reports_of_a_large_fleet_come_seldom(
+def test_reports_of_a_large_fleet_stay_live_longer(
     clock, monkeypatch, routers, age_s, lives
 ):
-    """Symptom: in a large fleet a roll-out is completed while some still move.
+    """Guards against completing a roll-out too early in a large fleet.
 
-    Cause: 1,200 routers write a report each 15 s, and reports older than 5 s
-    counted as those of routers that were gone.
+    Each of 1,200 routers writes a report every 15 s, and routers whose report
+    was older than 5 s counted as gone although they were still moving requests.
     """
     store = Store()
     shifts = router(store)
@@ -336,7 +338,7 @@
 
 
 def test_restarted_router_takes_the_time_from_reports(clock):
-    """Symptom: after a restart a roll-out starts again and misses its time."""
+    """Guards against a missed deadline because a restart resets the time."""
     store = Store()
     first = router(store, "r-1")
     clock.now += 12.0
@@ -345,8 +347,8 @@
     assert second.running["svc"].elapsed_s == pytest.approx(12.0)
 
 
-def test_late_write_meets_the_end(clock):
-    """A status written by a router that was frozen changes nothing."""
+def test_late_write_does_not_change_the_end(clock):
+    """A late write by a router that was paused does not change the end."""
     store = Store()
     first, second = router(store, "r-1"), router(store, "r-2")
     frozen = second.running["svc"].order
@@ -370,12 +372,11 @@
     ("answers", "done"), [(3, False), (4, True), (9, True)]
 )
 def test_order_of_a_small_service_is_done_in_time(clock, answers, done):
-    """Symptom: a good version is completed seconds after its time, or never.
+    """Guards against completing a good version seconds late, or never.
 
-    Pattern: 20 requests a second, 2 in 100 of them for the canary; the order
-    takes 24 s, and sessions stay where they are. Cause: eight answers were
-    asked for before anything moved, about as many as there could be. Found by
-    the standard day scale-1 of the thesis repository, in three of three plays.
+    The service gets 20 requests a second, of which 2 in 100 go to the canary;
+    the order takes 24 s, and sessions stay on their version. Eight answers were
+    required before requests moved, about as many as the canary could get.
     """
     shifts = router(Store())
     for n in range(answers):
@@ -388,19 +389,18 @@
 
 
 def test_router_that_is_gone_does_not_hold_the_end_up(clock, monkeypatch):
-    """Symptom: a good version is not completed in its time.
+    """Guards against completing a good version late.
 
-    Sequence: a router is cut off from the store before requests move, and its
-    last report says that it has moved nothing. In a large fleet reports come
-    seldom, so that one counts for long. Cause: it was waited for beyond the
-    order's time.
+    A router is cut off from the store before requests move, and its last report
+    says that it has moved nothing. Reports are rare in a large fleet, so this
+    one counted as live past the deadline, and the order waited for its router.
     """
     store = Store()
     first, cut = router(store, "r-1"), router(store, "r-2")
     first.reporter.quiet_pace_s = lambda: 6.0
     good_answers(first)
     cut.round()
-    see(first, store)
+    sync(first, store)
     store.reports.clear()
     since = time.monotonic()
     for moment in (0.9, 0.925, 0.94):
@@ -419,10 +419,10 @@
     [(0.0, 0.0), (1.1, 1.1), (3.0, 3.0), (9.0, 0.0)],
 )
 def test_order_that_was_seen_late_is_done_in_time(clock, unseen_s, age_s):
-    """Symptom: a good version is completed 0.1 s after its time.
+    """Guards against completing a good version 0.1 s late.
 
-    Sequence: the order is placed while the store has dropped its history; a
-    list shows it 1.1 s later. Cause: its time was counted from then on.
+    The order is placed while the store has dropped its history, and is read
+    from a list 1.1 s later. Its time used to be counted from that moment.
     """
     store = Store()
     shifts = router(store)
--- a/tests/components/shifts/test_gossip.py
+++ b/tests/components/shifts/test_told.py
@@ -1,4 +1,4 @@
-"""Tests of what routers tell each other of a roll-out."""
+"""Tests of the gossip about roll-outs."""
 
 from lacewingdock.components.gossip import KeptSession, Message
 from lacewingdock.components.shifts.pins import SessionPins
@@ -12,13 +12,12 @@
 
 
 def test_router_that_started_late_keeps_the_others_sessions(clock):
-    """Symptom: a session changes its version early in a roll-out.
+    """Guards against a session that changes its version early in a roll-out.
 
-    Sequence: it runs on the old version at one router; its next request comes
-    to a router that was restarted since, which draws it for the new version.
-    Cause: which version it was on was known to the first router only. Found by
-    the standard day trouble-2 of the thesis repository's larger size, 26
-    routers restarted in turn: four such requests.
+    The session runs on the old version through one router. Its next request
+    reaches a router that was restarted since and selects it for the new
+    version, as only the first router has the session's version. With 26
+    routers restarted in turn, four requests were affected.
     """
     first, second = router(Store()), router(Store())
     drawn = [
@@ -33,7 +32,7 @@
     second.receive_message(Message("r-1", 1, 1, [], told))
     for name in drawn:
         assert not second.version("svc", call(1, name)).allows("v2")
-    # What was heard is told on, no younger than it was.
+    # Received sessions are gossiped on, and keep their age.
     assert {one.session for one in second.sessions_to_keep()} == set(drawn)
 
 
@@ -46,18 +45,18 @@
     assert shifts.version("svc", call(1, drawn)).allows("v2")
 
 
-def test_heard_session_is_not_younger_than_the_own_one():
+def test_older_gossip_does_not_replace_own_session():
     shifts = router(Store())
     shifts.pins.pin("svc", "s", "v2")
     shifts.pins.receive(KeptSession("svc", "s", "v1", 3))
     assert shifts.pins.version("svc", "s") == "v2"
 
 
-def test_bad_version_is_left_at_another_routers_word(clock):
-    """Symptom: a bad version gets requests seconds after it was found bad.
+def test_version_reported_bad_by_another_router_gets_nothing(clock):
+    """Guards against requests to a version seconds after it was found bad.
 
-    Sequence: one router finds it; the others' reads of the reports may be
-    three seconds behind. Cause: only the reports told it.
+    One router finds the version bad, and the other routers may read its report
+    three seconds later.
     """
     first, second = router(Store()), router(Store())
     clock.now += SESSION_WAIT_S
@@ -73,11 +72,11 @@
     assert second.found_bad() == bad == [("svc", "v2")]
 
 
-def test_session_told_to_and_fro_grows_older(monkeypatch):
-    """Symptom: sessions that ended fill the messages of a whole roll-out.
+def test_session_gossiped_in_turn_grows_older(monkeypatch):
+    """Guards against gossip messages full of sessions that have ended.
 
-    Sequence: two routers tell each other of a session, a little after each
-    other. Cause: its age was rounded down each time.
+    Two routers report a session to each other in turn. When its age was rounded
+    down each time, it never expired.
     """
     now = [500.0]
     monkeypatch.setattr(
--- a/tests/components/shifts/test_full_load.py
+++ b/tests/components/shifts/test_under_load.py
@@ -1,4 +1,4 @@
-"""Test of a version whose fault shows under a load that builds up slowly."""
+"""Tests of a version that fails only under load that builds up slowly."""
 
 import heapq
 import random
@@ -12,18 +12,20 @@
     call,
     router,
     sample,
-    see,
+    sync,
 )
 
-# A service of nine engines, with twenty streams of four seconds at each.
+# A service of nine engines, each with twenty concurrent streams of 4 s.
 ENGINES = 9
 STREAM_S = 4.0
 REQUESTS_PER_S = 45
-# The version fails half of what begins at an engine with more than this.
+# The version fails half of the requests that begin at an engine with more
+# running requests than this.
 SOUND_UP_TO = 12
 FAILED_S = 0.1
 ROUND_S = 0.25
-# The promise: nothing so long after the version's fiftieth bad answer.
+# The rollback bound: no request to the version later than this many seconds
+# after its fiftieth bad answer.
 BAD_ANSWERS = 50
 ROLLBACK_S = 5.0
 
@@ -32,14 +34,14 @@
     """Roll a version out under full load.
 
     Args:
-        clock: The time.
-        monkeypatch: Of the test.
-        routers: How many share the requests.
-        bad_part: Part of the answers that it fails beyond its load.
+        clock: The fake clock.
+        monkeypatch: The test's fixture.
+        routers: Number of routers that share the requests.
+        bad_part: Share of the requests that the version fails under overload.
 
     Returns:
-        By how many seconds each of its requests came after the end of the
-        promise's time, and the store.
+        For each request to the version after its fiftieth bad answer, the
+        seconds by which it missed the rollback bound, and the store.
     """
     draw = random.Random(1)
     store = Store()
@@ -59,7 +61,7 @@
             for shifts in fleet:
                 shifts.round()
             for shifts in fleet:
-                see(shifts, store)
+                sync(shifts, store)
         shifts = fleet[number % routers]
         rule = shifts.version("svc", call(number))
         chosen = min(
@@ -84,17 +86,19 @@
     return late, store
 
 
-def test_version_that_fails_under_full_load_is_left(clock, monkeypatch):
-    """Symptom: a bad version gets requests 5.1 s after its 50th bad answer.
+def test_version_that_fails_under_full_load_gets_no_late_requests(
+    clock, monkeypatch
+):
+    """Guards against requests 5.1 s after a version's 50th bad answer.
 
-    Sequence: the version has two bad answers of fifty-eight while it gets its
-    first share. All requests move in the last eighth of the order's time: 0.7
-    s at half, 0.6 s at all of them, until the order is completed. Streams
-    last four seconds, so an engine has five of them then, where the old
-    version's have twenty. It fails from one second after the completion on.
+    The version has two bad answers of 58 during the canary. All requests move
+    in the last eighth of the order's time, 0.7 s with half and 0.6 s with all
+    of them, until the order is completed. Streams last four seconds, so an
+    engine has five of them then, where the old version's engines have twenty.
+    The version fails from one second after the completion on.
 
-    Cause: the move is shorter than the time in which load builds up, and the
-    share before it is spread over all engines of the new version.
+    The move is shorter than the time in which load builds up, and the canary's
+    share is spread over all engines of the new version.
     """
     late, store = roll_out(clock, monkeypatch, routers=1, bad_part=0.5)
     assert max(late, default=-ROLLBACK_S) <= 0.0, (
@@ -103,10 +107,10 @@
 
 
 @pytest.mark.parametrize("routers", [4, 68])
-def test_version_that_fails_under_full_load_is_left_by_all(
+def test_version_that_fails_under_full_load_is_rolled_back_by_all(
     clock, monkeypatch, routers
 ):
-    """The same, where each router sees a part of the answers only."""
+    """Each router sees only a part of the answers."""
     late, store = roll_out(clock, monkeypatch, routers, bad_part=0.5)
     assert max(late, default=-ROLLBACK_S) <= 0.0
     assert store.order.status["state"] == "rolled_back"
@@ -114,6 +118,6 @@
 
 @pytest.mark.parametrize("routers", [1, 4, 68])
 def test_good_version_is_completed_in_its_time(clock, monkeypatch, routers):
-    """What is loaded ahead must not hold a good version up."""
+    """The full-load stage must not delay a good version."""
     _, store = roll_out(clock, monkeypatch, routers, bad_part=0.0)
     assert store.order.status["state"] == "completed"
--- a/tests/components/suspects/__init__.py
+++ b/tests/components/suspects/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the requests that crash upstream instances."""
+"""Tests of the detection of poison requests."""
--- a/tests/components/suspects/fleet.py
+++ b/tests/components/suspects/fleet.py
@@ -1,4 +1,4 @@
-"""Routers that hear of each other's losses at once, in virtual time."""
+"""Fleet of routers that exchange losses at once, in virtual time."""
 
 import random
 import time
@@ -19,7 +19,7 @@
 
 
 class Clock:
-    """Stands in for the monotonic clock."""
+    """Fake monotonic clock, advanced by the test."""
 
     def __init__(self, monkeypatch):
         self.now = 1000.0
@@ -27,7 +27,7 @@
 
 
 class Fleet:
-    """Routers that hear each other at once."""
+    """Routers that receive each other's publications at once."""
 
     def __init__(self, count, instances=8):
         self.directories = [Directory() for _ in range(count)]
@@ -48,14 +48,14 @@
         ]
 
     def reach(self, instance):
-        """Ask an instance: crashed ones take no connection."""
+        """Return a check's result; crashed instances accept no connection."""
         if instance.entry.id in self.unclear:
             return AddressCheck(Responder.UNCLEAR)
         alive = instance.entry.id in self.alive
         return AddressCheck(Responder.ITSELF if alive else Responder.NOTHING)
 
     def publish(self, number, losses):
-        """Take what one router tells to all others."""
+        """Deliver a router's publication to all other routers."""
         self.writes += 1
         for other, router in enumerate(self.routers):
             if other != number:
@@ -63,7 +63,7 @@
         return True
 
     def round(self, only_due=False):
-        """Let all routers tell, or those that have something to tell now."""
+        """Run a round of all routers, or of those with a publication due."""
         for router in self.routers:
             if router.publish_due.is_set() or not only_due:
                 router.publish_due.clear()
--- a/tests/components/suspects/test_address_check.py
+++ b/tests/components/suspects/test_address_check.py
@@ -1,4 +1,4 @@
-"""Tests of asking which start of an instance answers at its address."""
+"""Tests of checking which instance answers at an address."""
 
 import contextlib
 import socket
@@ -13,14 +13,14 @@
 from tests.components.gateway.fakes import Upstream
 
 
-def says(status, *headers):
-    """Return an answer's bytes."""
+def answer(status, *headers):
+    """Return the bytes of an answer without a body."""
     lines = [b"HTTP/1.1 " + status, *headers, b"Content-Length: 0", b"", b""]
     return b"\r\n".join(lines)
 
 
 class Server(Upstream):
-    """Answers each question the same, whatever it is; None for never."""
+    """Server that sends the same reply to every request; None for none."""
 
     def __init__(self, reply):
         super().__init__()
@@ -38,20 +38,26 @@
 @pytest.mark.parametrize(
     ("reply", "found"),
     [
-        (says(b"200 OK", b"Instance-Id: i-1"), AddressCheck(Responder.ITSELF)),
         (
-            says(b"503 Draining", b"Instance-Id: i-1"),
+            answer(b"200 OK", b"Instance-Id: i-1"),
             AddressCheck(Responder.ITSELF),
         ),
-        (says(b"503 Full", b"Not-Executed: 1"), AddressCheck(Responder.ITSELF)),
-        (says(b"404 Not Found"), AddressCheck(Responder.ITSELF)),
         (
-            says(b"421 Misdirected", b"Instance-Id: i-2"),
+            answer(b"503 Draining", b"Instance-Id: i-1"),
+            AddressCheck(Responder.ITSELF),
+        ),
+        (
+            answer(b"503 Full", b"Not-Executed: 1"),
+            AddressCheck(Responder.ITSELF),
+        ),
+        (answer(b"404 Not Found"), AddressCheck(Responder.ITSELF)),
+        (
+            answer(b"421 Misdirected", b"Instance-Id: i-2"),
             AddressCheck(Responder.ANOTHER, "i-2"),
         ),
-        (says(b"421 Misdirected"), AddressCheck(Responder.ANOTHER)),
+        (answer(b"421 Misdirected"), AddressCheck(Responder.ANOTHER)),
         (
-            says(b"200 OK", b"Instance-Id: i-2"),
+            answer(b"200 OK", b"Instance-Id: i-2"),
             AddressCheck(Responder.ANOTHER, "i-2"),
         ),
         (b"", AddressCheck(Responder.UNCLEAR)),
@@ -60,7 +66,7 @@
     ],
 )
 def test_who_answers(reply, found):
-    """An open port is no sign of life: whoever listens there takes it."""
+    """An open port proves nothing: another process may listen on it."""
     server = Server(reply)
     assert check_address(server.entry("i-1"), "/health") == found
     request = server.asked[0].lower()
--- a/tests/components/suspects/test_crash_verdict.py
+++ b/tests/components/suspects/test_crash_verdict.py
@@ -1,4 +1,4 @@
-"""Tests of telling whether an instance crashed when it lost a request."""
+"""Tests of deciding whether an instance crashed when it lost a request."""
 
 import pytest
 
@@ -17,28 +17,28 @@
     [
         ({}, CrashVerdict.UNKNOWN),
         ({"answered_at": LOST_AT}, CrashVerdict.SURVIVED),
-        # Sent before the loss: the start may have ended since.
+        # Sent before the loss: the instance may have ended since.
         ({"answered_at": LOST_AT - 0.01}, CrashVerdict.UNKNOWN),
         ({"answered_at": LOST_AT + 1, "unreached_at": LOST_AT + 2}, "proved"),
         ({"unreached_at": LOST_AT}, CrashVerdict.CRASHED),
         ({"unreached_at": LOST_AT - 0.01}, CrashVerdict.UNKNOWN),
-        # Bytes that came before the loss may be read a little after it.
+        # Bytes that arrived before the loss may be read a little after it.
         ({"heard_at": LOST_AT + 0.05}, CrashVerdict.UNKNOWN),
         ({"heard_at": LOST_AT + 0.2}, CrashVerdict.LIKELY_ALIVE),
         (
             {"heard_at": LOST_AT + 0.2, "unreached_at": LOST_AT},
             CrashVerdict.LIKELY_ALIVE,
         ),
-        # They were read late by a router without processor time.
+        # A router without processor time may read bytes late.
         ({"heard_at": LOST_AT + 0.2, "unreached_at": LOST_AT + 1}, "crashed"),
     ],
 )
-def test_what_became_of_an_instance(signs, verdict):
+def test_crash_verdict(signs, verdict):
     instance = Instance(entry("i-1"))
     for name, value in signs.items():
         setattr(instance, name, value)
     assert judge_crash(instance, LOST_AT) == verdict
 
 
-def test_what_is_gone_crashed():
+def test_missing_instance_has_crashed():
     assert judge_crash(None, LOST_AT) is CrashVerdict.CRASHED
--- a/tests/components/suspects/test_suspects.py
+++ b/tests/components/suspects/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of holding back requests that crash what runs them."""
+"""Tests of detecting and refusing poison requests."""
 
 import random
 
@@ -20,15 +20,15 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """A clock that moves when it is told to."""
+    """Fake monotonic clock, advanced by the test."""
     return Clock(monkeypatch)
 
 
 def test_one_router_holds_back_what_crashed_three(clock):
-    """Symptom: one request takes an instance down each time it comes.
+    """Guards against a request that crashes an instance at each retry.
 
-    Sequence: a request is lost at an instance; its repeats are lost at others.
-    Cause: each repeat was routed as if nothing were known of it.
+    A request is lost at an instance, and its retries, which used to be routed
+    regardless of earlier losses, are lost at other instances.
     """
     suspects = Fleet(1).routers[0]
     held = [suspects.lost(call(), "w", f"i-{n}") for n in range(3)]
@@ -40,9 +40,9 @@
 
 
 def test_losses_add_up_over_the_fleet(clock):
-    """Symptom: a request takes down two instances through each router.
+    """Guards against a request that crashes two instances through each router.
 
-    Cause: each router knew its own losses only.
+    Each router used to count only its own losses.
     """
     fleet = Fleet(3)
     for number, router in enumerate(fleet.routers):
@@ -68,10 +68,10 @@
 
 
 def test_lost_connections_of_living_instances_do_not_count(clock):
-    """Symptom: a common request is refused after connections were reset.
+    """Guards against refusing a harmless request after connection resets.
 
-    Cause: a reset was taken for a crash, though the instance went on
-    answering others.
+    A reset used to count as a crash although the instance went on answering
+    other requests.
     """
     fleet = Fleet(2)
     suspects, directory = fleet.routers[0], fleet.directories[0]
@@ -86,11 +86,11 @@
 
 
 def test_answers_lost_in_a_row_at_quiet_instances_do_not_count(clock):
-    """Symptom: a good request is refused with 429 while answers get lost.
+    """Guards against refusing a harmless request with 429 as answers get lost.
 
-    Sequence: the three attempts of one request are reset within a moment; none
-    of the instances has answered another request in between. Cause: who sent
-    nothing since the loss was taken for crashed.
+    The three attempts of a request are reset within a moment, and none of the
+    instances has answered another request in between. Instances that sent
+    nothing since the loss used to count as crashed.
     """
     fleet = Fleet(2)
     fleet.alive = {f"i-{number}" for number in range(8)}
@@ -116,9 +116,10 @@
 
 
 def test_one_trial_after_each_hold_and_longer_holds(clock, monkeypatch):
-    """Three instances crashed for another cause: one answer clears it.
+    """Each failed trial doubles the hold; one answer clears the request.
 
-    Otherwise each trial costs one instance, ever more seldom.
+    The crashes of a harmless request had another cause, so its trial is
+    answered. Each trial of a poison request costs one instance.
     """
     suspects = Fleet(1).routers[0]
     monkeypatch.setattr(suspects.random, "random", lambda: 0.0)
@@ -139,13 +140,13 @@
     assert not suspects.holds(call(), "w")
 
 
-def test_crashes_that_come_to_be_known_by_themselves_hold(clock):
-    """Guards against a trial that passes though nothing was held back.
+def test_crashes_found_by_expired_entries_start_a_hold(clock):
+    """Guards against a trial without a hold before it.
 
-    Symptom: each router sends one more copy after three engines ended.
-    Sequence: a request is lost at three instances, of which nothing shows that
-    they crashed; their entries run out. Cause: a hold began with a loss or a
-    message only, and what was never held counted as held for long enough.
+    A request is lost at three instances without evidence that they crashed, and
+    their entries expire. A hold began only with a loss or a message, and a
+    request that was never held counted as held for long enough, so each router
+    sent one more copy.
     """
     fleet = Fleet(1)
     fleet.unclear = {f"i-{number}" for number in range(3)}
@@ -162,12 +163,12 @@
 
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize("routers", [1, 4, 28, 300])
-def test_trials_are_ever_more_seldom_over_the_fleet(clock, routers, seed):
-    """Guards against each router's making trials of its own.
+def test_trials_grow_rarer_over_the_fleet(clock, routers, seed):
+    """Guards against a crashed engine every twenty seconds.
 
-    Symptom: engines end every twenty seconds. Sequence: copies come through
-    all routers; a trial fails at one of them. Cause: its failure made the next
-    trial later at that router only.
+    Copies of a request arrive at all routers, and a trial fails at one of them.
+    The failure used to lengthen the hold at that router only, so each router
+    made trials of its own.
     """
     fleet = Fleet(routers, instances=100)
     source = random.Random(seed)
@@ -182,18 +183,17 @@
         if not router.holds(call(), "w"):
             trials += 1
             router.lost(call(), "w", f"i-{3 + trials}")
-        # A copy comes every 0.15 s; what is due is told within 0.2 s.
+        # A copy arrives every 0.15 s; due losses are published within 0.2 s.
         fleet.round(only_due=step % 5 != 0)
     assert 0 < trials <= 3
 
 
 def test_losses_at_instances_that_lived_on_do_not_count_as_they_leave(clock):
-    """Guards against requests that pay for a release.
+    """Guards against refusals and writes to the store during a release.
 
-    Symptom: a request is refused with 429, and routers write to the store as
-    instances leave. Sequence: its connections are reset at three instances,
-    which live on; much later they leave. Cause: what is gone counted as
-    crashed, though it had answered others since the loss.
+    A request's connections are reset at three instances, which survive and
+    leave much later. Instances that were gone counted as crashed although they
+    had answered other requests since the loss, and the request got a 429.
     """
     fleet = Fleet(2)
     suspects, directory = fleet.routers[0], fleet.directories[0]
@@ -237,7 +237,7 @@
 
 
 def test_bound_over_the_fleet(clock):
-    """At most three more instances in 34 s after the third crash is known."""
+    """At most three more crashes within 34 s of the third crash's report."""
     fleet = Fleet(4, instances=100)
     crashes, third_at = 0, None
     for step in range(400):
@@ -254,25 +254,25 @@
     assert 0 < crashes <= 3
 
 
-def test_what_was_heard_before_does_not_count_again(clock):
+def test_losses_received_before_do_not_count_again(clock):
     fleet = Fleet(2)
-    teller, hearer = fleet.routers
-    teller.lost(call(), "w", "i-0")
+    sender, receiver = fleet.routers
+    sender.lost(call(), "w", "i-0")
     clock.now += 1.0
     fleet.round()
-    hearer.answered(call(), "w")
-    teller.lost(call(body=b"other"), "w", "i-1")
+    receiver.answered(call(), "w")
+    sender.lost(call(body=b"other"), "w", "i-1")
     clock.now += 1.0
     fleet.round()
-    assert fingerprint_of(call(), "w") not in hearer.suspects
-    assert fingerprint_of(call(body=b"other"), "w") in hearer.suspects
+    assert fingerprint_of(call(), "w") not in receiver.suspects
+    assert fingerprint_of(call(body=b"other"), "w") in receiver.suspects
 
 
 def test_a_request_is_digested_once(clock, monkeypatch):
-    """Symptom: after one lost booking each request costs more for minutes.
+    """Guards against hashing a request's body more than once.
 
-    Cause: while any suspect is remembered, a request's whole body was digested
-    when it came, when it was lost and when it was answered.
+    While there were suspects, which are kept for minutes, each request's body
+    was hashed on arrival, on a loss and on an answer.
     """
     digested = []
 
@@ -299,7 +299,7 @@
     assert suspects.suspects == {}
 
 
-def test_what_could_not_be_told_is_told_again(clock):
+def test_unpublished_losses_are_published_again(clock):
     told = []
     suspects = PoisonRequests(Directory(), told.append, None, random.Random(1))
     suspects.lost(call(), "w", "i-0")
