--- a/lacewingdock/components/shifts/__init__.py
+++ b/lacewingdock/components/shifts/__init__.py
@@ -319,7 +319,9 @@
         try:
             order = read_shift(stored)
         except LacewingdockError as error:
-            log.error("invalid order ignored", order=stored.name, error=str(error))
+            log.error(
+                "invalid order ignored", order=stored.name, error=str(error)
+            )
             return
         known = self.orders.get(order.service)
         if known is not None and known.revision >= order.revision:
