--- a/lacewingdock/components/shifts/__init__.py
+++ b/lacewingdock/components/shifts/__init__.py
@@ -1,9 +1,9 @@
-"""Support for rolling versions out on the platform's order.
+"""Support for rolling out versions on the platform's orders.
 
-Every router moves its own requests by the order's time, judges the new
-version by the answers that all routers report, and may end the order: the
-end is a conditional write, so the first one wins and the others read it. No
-router is in charge, so none can fail while it is.
+Every router moves its own requests according to the order's time, evaluates the
+new version by the answers that all routers report, and may end the order. The
+end is a conditional write, so the first write wins and the other routers read
+it. There is no leader whose failure could stop a roll-out.
 """
 
 import threading
@@ -19,18 +19,18 @@
     Message,
 )
 from lacewingdock.components.shifts.const import (
+    MAX_UNSEEN_S,
     QUIET_REPORTS_PER_S,
     REPORT_LATE_S,
     REPORT_S,
     REPORTS_LOST,
-    UNSEEN_MOST_S,
     WRITES_PART,
 )
-from lacewingdock.components.shifts.evidence import Sample
+from lacewingdock.components.shifts.evidence import VersionSample
 from lacewingdock.components.shifts.pins import SessionPins
 from lacewingdock.components.shifts.report import Report, Stage, read_report
 from lacewingdock.components.shifts.reporter import Reporter
-from lacewingdock.components.shifts.returned import ReturnedOrders
+from lacewingdock.components.shifts.restored_orders import RestoredOrders
 from lacewingdock.components.shifts.shift import Shift, VersionRule
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.exceptions import LacewingdockError
@@ -50,27 +50,28 @@
 
 log = get_logger("shifts")
 
-__all__ = ["ReportListener", "Sample", "Shifts", "VersionRule"]
+__all__ = ["ReportListener", "Shifts", "VersionRule", "VersionSample"]
 
 
 class Shifts:
-    """The roll-outs under way, and the version that each service is on.
+    """The roll-outs under way, and the version of each service.
 
     Attributes:
-        host: What the platform says of this instance.
+        host: Profile of this instance from the platform.
         api: The platform's store.
         directory: The upstream instances.
         orders: The newest order of each service.
-        returned: Orders of a store that is back from a copy.
+        returned: Orders read from a restored store that may be outdated.
         running: Roll-outs under way, by service.
         settled: The version of each service outside of roll-outs.
         refused: Versions that were rolled back, by service.
         pins: The version of each session.
         reporter: Writes this router's reports.
-        unseen_s: Returns for how long an order that is taken now may have gone
-            unseen, in seconds.
-        store_doubtful: Returns whether the store was away lately.
-        admits: Returns whether the instance with an id takes a request now.
+        unseen_s: Returns for how many seconds an order read now may have been
+            in the store unseen.
+        store_doubtful: Returns whether the store was recently unavailable or
+            restored, so that its contents may be incomplete.
+        admits: Returns whether the instance with an id accepts a request now.
     """
 
     __slots__ = (
@@ -98,20 +99,20 @@
         directory: Directory,
         routers: Callable[[], int],
     ) -> None:
-        """Take the parts.
+        """Initialize without orders.
 
         Args:
-            host: What the platform says of this instance.
-            incarnation: This start of the router.
+            host: Profile of this instance from the platform.
+            incarnation: Incarnation of this router.
             api: The platform's store.
             directory: The upstream instances.
-            routers: Returns how many routers there are.
+            routers: Returns the number of routers.
         """
         self.host = host
         self.api = api
         self.directory = directory
         self.orders: dict[str, ShiftOrder] = {}
-        self.returned = ReturnedOrders()
+        self.returned = RestoredOrders()
         self.running: dict[str, Shift] = {}
         self.settled: dict[str, str] = {}
         self.refused: dict[str, str] = {}
@@ -135,7 +136,7 @@
 
     @property
     def hurried(self) -> bool:
-        """Whether reports of a roll-out are waited for."""
+        """Whether a roll-out needs reports at the faster pace."""
         return any(shift.hurried for shift in list(self.running.values()))
 
     def version(
@@ -146,7 +147,7 @@
         Args:
             service: The service.
             call: The request.
-            again: Whether an attempt at it failed.
+            again: Whether an earlier attempt at the request failed.
         """
         shift = self.running.get(service)
         refused = self.refused.get(service, "")
@@ -161,29 +162,34 @@
         if present == {target}:
             return VersionRule(only=target)
         pinned = self.pins.version(service, call.session)
-        if pinned != target and not self._takes_load(shift):
+        if pinned != target and not self._has_capacity(shift):
             return VersionRule(never=target)
         if pinned is not None and pinned != target and shift.keeps_sessions:
             return VersionRule(never=target)
-        if pinned == target or shift.takes(call):
-            # One that failed there may go to any that is left.
-            instances = frozenset() if again else shift.loaded
+        if pinned == target or shift.moves(call):
+            # A retry may go to any instance of the version.
+            instances = frozenset() if again else shift.full_load_instances
             return VersionRule(only=target, instances=instances)
         return VersionRule(never=target)
 
-    def _takes_load(self, shift: Shift) -> bool:
-        """Whether an instance that gets the new version's requests takes one.
+    def _has_capacity(self, shift: Shift) -> bool:
+        """Whether an instance of the new version can run a request now.
 
-        It must be warm, and if it takes few, have a turn for it. Else requests
-        would be refused although the old version's instances have places.
+        The instance must be warm and, if its request rate is limited, have
+        room for the request. Otherwise requests would be refused although the
+        old version's instances have free slots.
         """
         warm = self.directory.warm(shift.order.service, shift.order.target)
-        found = shift.loaded & warm if shift.loaded else warm
+        found = (
+            shift.full_load_instances & warm
+            if shift.full_load_instances
+            else warm
+        )
         return any(self.admits(one) for one in found)
 
-    def add(self, sample: Sample, session: str) -> None:
-        """Take what an attempt showed of a version."""
-        self.pins.keep(sample.service, session, sample.version)
+    def add(self, sample: VersionSample, session: str) -> None:
+        """Record the result of an attempt, and pin its session."""
+        self.pins.pin(sample.service, session, sample.version)
         shift = self.running.get(sample.service)
         if shift is None or sample.refused:
             return
@@ -191,20 +197,20 @@
             is_new = sample.version == shift.order.target
             shift.evidence.add(sample, is_new=is_new)
 
-    def take_report(self, report: Report) -> None:
-        """Take another router's report."""
+    def apply_report(self, report: Report) -> None:
+        """Apply another router's report to its roll-out."""
         shift = self._running(report.service, report.target)
         if shift is None or report.incarnation == self.reporter.incarnation:
             return
         with self._lock:
-            shift.take_report(report)
+            shift.apply_report(report)
 
     def sessions_to_keep(self) -> list[KeptSession]:
         """Return the sessions that other routers would move too early.
 
-        All routers draw alike which sessions the new version gets first, but
-        one that did not serve a session before, or has started since, takes it
-        for new. While a session must stay, those that know it tell it.
+        All routers select the same sessions for the new version, but a router
+        that has not served a session, or was restarted since, treats it as new.
+        So while sessions must stay, the routers that track them gossip them.
         """
         found: list[KeptSession] = []
         for service, shift in list(self.running.items()):
@@ -214,40 +220,44 @@
             found += [
                 one
                 for one in self.pins.of_service(service)
-                if one.version != target and shift.draws(one.session)
+                if one.version != target and shift.selects(one.session)
             ]
         return sorted(found, key=lambda one: one.age_s)[:MAX_SESSIONS]
 
     def found_bad(self) -> list[tuple[str, str]]:
-        """Return the services and versions of roll-outs that were found bad."""
+        """Return service and version of each roll-out that was found bad."""
         return [
             (service, shift.order.target)
             for service, shift in list(self.running.items())
             if shift.found_bad
         ]
 
-    def hear_message(self, message: Message) -> None:
-        """Take what another router says of sessions and bad versions.
+    def receive_message(self, message: Message) -> None:
+        """Apply the sessions and bad versions in another router's gossip.
 
-        The reports say the latter too, but they may be seen seconds late.
+        Reports hold the bad versions too, but may be read seconds later.
         """
         for one in message.sessions:
-            self.pins.hear(one)
+            self.pins.receive(one)
         for service, target in message.bad:
             if shift := self._running(service, target):
                 with self._lock:
-                    shift.hear_bad(message.router)
+                    shift.mark_bad(message.router)
 
-    def take_stored_report(self, stored: StoredObject) -> None:
-        """Take another router's report from the store."""
+    def apply_stored_report(self, stored: StoredObject) -> None:
+        """Apply another router's report from the store."""
         report = read_report(stored)
         if report is None:
-            log.error("report refused", report=stored.name)
+            log.error("invalid report ignored", report=stored.name)
             return
-        self.take_report(report)
+        self.apply_report(report)
 
     def own_reports(self) -> bytes:
-        """Return this router's reports, for others to hear in an outage."""
+        """Return this router's reports for direct exchange in an outage.
+
+        Returns:
+            A JSON list; empty without roll-outs.
+        """
         running = list(self.running.values())
         reports = [
             self.reporter.report(shift, self._old_running(shift))
@@ -255,22 +265,25 @@
         ]
         return msgspec.json.encode(reports) if reports else b""
 
-    def hear(self, data: bytes) -> None:
-        """Take another router's reports from itself.
+    def receive(self, data: bytes) -> None:
+        """Apply reports that another router sent directly.
 
-        A router that the store turns away can't write them; without its bad
-        answers the others would each have to see enough by themselves.
+        A router that the store rejects can't write its reports. Without its bad
+        answers, each other router would have to observe enough by itself.
+
+        Args:
+            data: A JSON list of reports.
         """
         try:
             reports: list[Report] = decode_json(data, list[Report])
         except msgspec.DecodeError as error:
-            log.error("reports refused", error=str(error))
+            log.error("invalid reports ignored", error=str(error))
             return
         for report in reports:
-            self.take_report(report)
+            self.apply_report(report)
 
     def round(self) -> None:
-        """Judge, move on, report and end what is due."""
+        """Evaluate, advance, report and end the roll-outs that are due."""
         for shift in list(self.running.values()):
             with self._lock:
                 shift.instances = self._new_instances(shift)
@@ -282,11 +295,11 @@
                 self._end(shift, ShiftState.COMPLETED)
             elif shift.order.state is ShiftState.ORDERED:
                 self._end(shift, ShiftState.RUNNING)
-        self._settle()
+        self._resume_deferred()
         self.pins.prune()
 
     def _running(self, service: str, target: str) -> Shift | None:
-        """Return the roll-out of a service to a version, if it is under way."""
+        """Return the roll-out of a service to a version if it is running."""
         shift = self.running.get(service)
         if shift is None or shift.order.target != target:
             return None
@@ -302,30 +315,32 @@
         return VersionRule(never=refused)
 
     def take(self, stored: StoredObject) -> None:
-        """Take an order."""
+        """Apply an order unless it is invalid, outdated or deferred."""
         try:
             order = read_shift(stored)
         except LacewingdockError as error:
-            log.error("order refused", order=stored.name, error=str(error))
+            log.error(
+                "invalid order ignored", order=stored.name, error=str(error)
+            )
             return
         known = self.orders.get(order.service)
         if known is not None and known.revision >= order.revision:
             return
-        if known is not None and self._may_be_lost_state(known, order):
+        if known is not None and self._may_be_outdated(known, order):
             if known.target != order.target:
                 self._defer(order)
                 return
             if known.state.ended and not order.state.ended:
-                self._restore_end(known, order)
+                self._rewrite_end(known, order)
                 return
         self._begin(order)
 
     def _begin(self, order: ShiftOrder, waited_s: float = 0.0) -> None:
-        """Go by an order.
+        """Store and apply an order.
 
         Args:
             order: The order.
-            waited_s: Seconds since it was seen.
+            waited_s: Seconds since the order was first seen.
         """
         self.returned.forget(order.service)
         self.orders[order.service] = order
@@ -340,17 +355,17 @@
         )
         self._apply(order, waited_s)
 
-    def _may_be_lost_state(self, known: ShiftOrder, order: ShiftOrder) -> bool:
-        """Whether the store may show an order as it was before what is known.
+    def _may_be_outdated(self, known: ShiftOrder, order: ShiftOrder) -> bool:
+        """Whether a restored store may hold an older state of an order.
 
-        It is back from a copy, and the operator's later orders and the ends
-        that routers wrote are written again.
+        Until the operator's later orders and the routers' final statuses are
+        written again, the store may return what was in the copy.
         """
         is_of_copy = era_of(order.revision) != era_of(known.revision)
         return is_of_copy and self.store_doubtful()
 
     def _defer(self, order: ShiftOrder) -> None:
-        """Leave an order until the store has all orders again."""
+        """Defer an order until the store has all orders again."""
         self.returned.defer(order)
         log.info(
             "order deferred",
@@ -359,24 +374,28 @@
             revision=shown(order.revision),
         )
 
-    def _settle(self) -> None:
-        """Go by what a store that is back from a copy shows by now."""
+    def _resume_deferred(self) -> None:
+        """Apply deferred orders, and write lost final statuses again."""
         if self.returned.deferred and not self.store_doubtful():
-            for waited_s, order in self.returned.settled():
+            for waited_s, order in self.returned.pop_deferred():
                 self._begin(order, waited_s)
-        for service in self.returned.due():
+        for service in self.returned.due_writes():
             order = self.orders[service]
             self._write_status(order, order.state)
 
-    def _restore_end(self, known: ShiftOrder, order: ShiftOrder) -> None:
-        """Write again how an order ended, which the store lost.
+    def _rewrite_end(self, known: ShiftOrder, order: ShiftOrder) -> None:
+        """Schedule writing the final status of an order that the store lost.
 
-        Begun anew, a version that was rolled back would get requests again.
+        If the order began anew, a version that was rolled back would get
+        requests again.
         """
         self.orders[order.service] = replace(order, state=known.state)
-        # Spread over the fleet: once one has written it, the others see it.
+        # Spread over the fleet: once a router has written the status, the
+        # others read it and need not write it.
         spread = zlib.crc32(self.reporter.router.encode()) / 2**32
-        self.returned.write_end(order.service, spread * self.reporter.pace_s())
+        self.returned.schedule_end_write(
+            order.service, spread * self.reporter.pace_s()
+        )
 
     def _apply(self, order: ShiftOrder, waited_s: float) -> None:
         service = order.service
@@ -401,17 +420,17 @@
                 self.running[service] = Shift(order, share, age_s)
 
     def _age_s(self) -> float:
-        """Return for how long an order that was just seen counts as placed.
+        """Return the assumed age in seconds of an order that was just read.
 
-        An order that a list shows may have been placed a while before; counted
-        from then on, a good version would be completed after its time. Too
-        long an age costs a part of the canary's time, and exposes no more.
+        An order read from a list may have been placed a while before. With an
+        age of zero, a good version would be completed after its deadline. An
+        age that is too high shortens the canary, but adds no exposure.
         """
         unseen_s = self.unseen_s()
-        return unseen_s if unseen_s <= UNSEEN_MOST_S else 0.0
+        return unseen_s if unseen_s <= MAX_UNSEEN_S else 0.0
 
     def drop(self, stored: StoredObject) -> None:
-        """Take an order that was removed: it is over."""
+        """End the roll-out of an order that was removed."""
         for service, order in list(self.orders.items()):
             if order.name == stored.name:
                 self.running.pop(service, None)
@@ -433,42 +452,45 @@
             if one.entry.version != shift.order.target
         )
 
-    def living_reports(self, shift: Shift) -> list[Report]:
-        """Return the other routers' reports of a roll-out, if they live."""
+    def live_reports(self, shift: Shift) -> list[Report]:
+        """Return the other live routers' reports on a roll-out."""
         lost_s = REPORTS_LOST * self.reporter.quiet_pace_s()
-        return shift.living_reports(lost_s)
+        return shift.live_reports(lost_s)
 
-    def _is_behind(self, shift: Shift) -> bool:
-        """Whether a router that lives has not moved all of its requests."""
+    def _is_router_behind(self, shift: Shift) -> bool:
+        """Whether a live router has not moved all of its requests."""
         if shift.stage is not Stage.ALL:
             return True
-        reports = self.living_reports(shift)
-        if shift.due:
+        reports = self.live_reports(shift)
+        if shift.deadline_reached:
             late_s = max(REPORT_LATE_S, REPORTS_LOST * self.reporter.pace_s())
-            reports = shift.living_reports(late_s)
+            reports = shift.live_reports(late_s)
         return any(report.stage is not Stage.ALL for report in reports)
 
     def _is_done(self, shift: Shift) -> bool:
-        """Whether all requests moved and nothing runs on what is stopped."""
-        if shift.suspect or self._is_behind(shift):
+        """Whether all requests moved and none runs on the old version.
+
+        At the deadline, requests that still run do not delay the end.
+        """
+        if shift.suspect or self._is_router_behind(shift):
             return False
-        if shift.due:
+        if shift.deadline_reached:
             return True
         if self.store_doubtful():
-            # Nobody could report while the store was away, so a router that is
-            # silent may still have requests on the old version, which a
-            # completion stops at once.
+            # No router could report while the store was unavailable, so a
+            # router without a live report may still run requests on the old
+            # version, which a completion stops at once.
             return False
         return not self._old_running(shift) and not any(
-            report.old_running for report in self.living_reports(shift)
+            report.old_running for report in self.live_reports(shift)
         )
 
     def _end(self, shift: Shift, state: ShiftState) -> None:
-        """Write what became of an order; a lost race is read back."""
+        """Write the new state of a roll-out's order."""
         self._write_status(shift.order, state)
 
     def _write_status(self, order: ShiftOrder, state: ShiftState) -> None:
-        """Write what became of an order; a lost race is read back."""
+        """Write an order's state; on a conflict, apply the stored order."""
         status = shift_status(order, state)
         try:
             written, found = self.api.write_status(
@@ -476,7 +498,7 @@
             )
         except LacewingdockError as error:
             log.warning(
-                "status not written",
+                "order status not written",
                 service=order.service,
                 state=state,
                 error=str(error),
--- /dev/null
+++ b/lacewingdock/components/suspects/address_check.py
@@ -0,0 +1,61 @@
+"""Support for checking which instance answers at an address."""
+
+import time
+from dataclasses import dataclass
+
+from lacewingdock.components.suspects.const import ADDRESS_CHECK_TIMEOUT_S
+from lacewingdock.components.suspects.crash_verdict import Responder
+from lacewingdock.components.upstreams.connection import (
+    TimedOut,
+    UpstreamConnection,
+    connect,
+)
+from lacewingdock.exceptions import UpstreamLost
+from lacewingdock.platform.wire import question_headers
+from lacewingdock.world.backend import UpstreamEntry
+from lacewingdock.world.call import AnswerHead
+
+
+@dataclass(slots=True, frozen=True)
+class AddressCheck:
+    """Result of a request to an instance's address.
+
+    Attributes:
+        responder: Who answered.
+        answered_by: Id of the other instance that answered; empty if it sent
+            none, or if no other instance answered.
+    """
+
+    responder: Responder
+    answered_by: str = ""
+
+
+def check_address(entry: UpstreamEntry, path: str) -> AddressCheck:
+    """Send a request to an instance's address that names the expected instance.
+
+    Args:
+        entry: The expected instance and its address.
+        path: Path of a request that instances answer without running anything,
+            such as a health check.
+    """
+    until = time.monotonic() + ADDRESS_CHECK_TIMEOUT_S
+    try:
+        sock = connect(entry.host, entry.port, ADDRESS_CHECK_TIMEOUT_S)
+    except UpstreamLost:
+        return AddressCheck(Responder.NOTHING)
+    connection = UpstreamConnection(sock, 0.0)
+    try:
+        left_s = until - time.monotonic()
+        headers = question_headers(entry.host, entry.id)
+        connection.send("", b"GET", path.encode(), headers, b"", left_s)
+        return _identify_responder(connection.read_head(until), entry)
+    except (UpstreamLost, TimedOut):
+        return AddressCheck(Responder.UNCLEAR)
+    finally:
+        connection.close()
+
+
+def _identify_responder(head: AnswerHead, entry: UpstreamEntry) -> AddressCheck:
+    if head.is_by_other(entry.id):
+        return AddressCheck(Responder.ANOTHER, head.instance)
+    return AddressCheck(Responder.ITSELF)
--- a/tests/components/shifts/test_few.py
+++ b/tests/components/shifts/test_limited_instances.py
@@ -1,8 +1,8 @@
-"""Tests of a roll-out to instances that take few requests."""
+"""Tests of a roll-out to instances with limited request rates."""
 
 import pytest
 
-from lacewingdock.components.shifts.shift import SETTLE_S
+from lacewingdock.components.shifts.shift import SESSION_WAIT_S
 from tests.components.shifts.fakes import Store, call, router
 
 
@@ -10,7 +10,7 @@
     ("taking", "goes_to_new"),
     [
         ({"i-0", "i-1", "i-2", "i-3"}, True),
-        # One instance of the new version is enough.
+        # A single available instance of the new version suffices.
         ({"i-0", "i-1", "i-3"}, True),
         ({"i-0", "i-1"}, False),
     ],
@@ -18,15 +18,16 @@
 def test_new_version_without_a_turn_leaves_requests_to_the_old(
     clock, taking, goes_to_new
 ):
-    """Guards against: requests refused for which the old version has places.
+    """Guards against refusals while the old version has free slots.
 
-    Sequence: the instances of a new version name limits; a request that is
-    drawn for it finds no turn there, and may go nowhere else.
+    The new version's instances limit their request rates. A request selected
+    for the new version finds all of them at their limit, and used to be allowed
+    nowhere else.
     """
     shifts = router(Store())
     shift = shifts.running["svc"]
-    drawn = next(f"s-{n}" for n in range(999) if shift.draws(f"s-{n}"))
-    clock.now += SETTLE_S
+    drawn = next(f"s-{n}" for n in range(999) if shift.selects(f"s-{n}"))
+    clock.now += SESSION_WAIT_S
     shifts.admits = taking.__contains__
     found = shifts.version("svc", call(1, drawn))
     assert found.allows("v2") is goes_to_new
@@ -35,7 +36,7 @@
 
 def test_session_that_is_on_the_new_version_stays_there(clock):
     shifts = router(Store())
-    clock.now += SETTLE_S
+    clock.now += SESSION_WAIT_S
     shifts.admits = lambda _: False
-    shifts.pins.keep("svc", "s", "v2")
+    shifts.pins.pin("svc", "s", "v2")
     assert not shifts.version("svc", call(1, "s")).allows("v1")
--- a/tests/components/suspects/fleet.py
+++ b/tests/components/suspects/fleet.py
@@ -1,11 +1,11 @@
-"""Routers that hear of each other's losses at once, in virtual time."""
+"""Fleet of routers that exchange losses at once, in virtual time."""
 
 import random
 import time
 
-from lacewingdock.components.suspects import Suspects
-from lacewingdock.components.suspects.look import Found
-from lacewingdock.components.suspects.verdict import Look
+from lacewingdock.components.suspects import PoisonRequests
+from lacewingdock.components.suspects.address_check import AddressCheck
+from lacewingdock.components.suspects.crash_verdict import Responder
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.world.backend import UpstreamEntry
 from lacewingdock.world.call import Call
@@ -19,7 +19,7 @@
 
 
 class Clock:
-    """Stands in for the monotonic clock."""
+    """Fake monotonic clock, advanced by the test."""
 
     def __init__(self, monkeypatch):
         self.now = 1000.0
@@ -27,7 +27,7 @@
 
 
 class Fleet:
-    """Routers that hear each other at once."""
+    """Routers that receive each other's publications at once."""
 
     def __init__(self, count, instances=8):
         self.directories = [Directory() for _ in range(count)]
@@ -38,7 +38,7 @@
         self.alive = set()
         self.unclear = set()
         self.routers = [
-            Suspects(
+            PoisonRequests(
                 directory,
                 lambda losses, n=n: self.publish(n, losses),
                 self.reach,
@@ -48,25 +48,25 @@
         ]
 
     def reach(self, instance):
-        """Ask an instance: crashed ones take no connection."""
+        """Return a check's result; crashed instances accept no connection."""
         if instance.entry.id in self.unclear:
-            return Found(Look.UNCLEAR)
+            return AddressCheck(Responder.UNCLEAR)
         alive = instance.entry.id in self.alive
-        return Found(Look.ITSELF if alive else Look.NOTHING)
+        return AddressCheck(Responder.ITSELF if alive else Responder.NOTHING)
 
     def publish(self, number, losses):
-        """Take what one router tells to all others."""
+        """Deliver a router's publication to all other routers."""
         self.writes += 1
         for other, router in enumerate(self.routers):
             if other != number:
-                router.hear(f"r-{number}", losses)
+                router.receive(f"r-{number}", losses)
         return True
 
     def round(self, only_due=False):
-        """Let all routers tell, or those that have something to tell now."""
+        """Run a round of all routers, or of those with a publication due."""
         for router in self.routers:
-            if router.due.is_set() or not only_due:
-                router.due.clear()
+            if router.publish_due.is_set() or not only_due:
+                router.publish_due.clear()
                 router.round()
 
 
