--- a/lacewingdock/components/gateway/attempt.py
+++ b/lacewingdock/components/gateway/attempt.py
@@ -6,7 +6,7 @@
 from typing import Final, TypeVar
 
 from lacewingdock.components.gateway.events import Event, EventCutter
-from lacewingdock.components.gateway.patience import Patience, Wait
+from lacewingdock.components.gateway.timeouts import Patience, Wait
 from lacewingdock.components.upstreams.connection import (
     CallerLeft,
     TimedOut,
--- a/lacewingdock/components/gateway/cascade.py
+++ b/lacewingdock/components/gateway/cascade.py
@@ -4,7 +4,7 @@
 
 from lacewingdock.components.admission.fleet_budget import FleetBudget
 from lacewingdock.components.gateway.attempt import Broken, Result, Unsure
-from lacewingdock.components.gateway.sizing import (
+from lacewingdock.components.gateway.confidence_threshold import (
     CONFIDENCE_ENOUGH,
     MIN_GOAL_S,
     RELAXED_BELOW,
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -26,14 +26,14 @@
     left,
     refused,
 )
-from lacewingdock.components.gateway.patience import (
+from lacewingdock.components.gateway.placement import NoPlace, Seeker, place
+from lacewingdock.components.gateway.refusal import not_run, repeats_crash
+from lacewingdock.components.gateway.request_log import finished
+from lacewingdock.components.gateway.timeouts import (
     Patience,
     patience_for,
     patience_of_last,
 )
-from lacewingdock.components.gateway.placing import NoPlace, Seeker, place
-from lacewingdock.components.gateway.refusal import not_run, repeats_crash
-from lacewingdock.components.gateway.request_log import finished
 from lacewingdock.components.pacing.const import WAIT_PART
 from lacewingdock.components.shifts import Sample
 from lacewingdock.components.suspects.decision import Decision
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -7,9 +7,9 @@
     FleetBudget,
     RetryTerms,
 )
+from lacewingdock.components.gateway.confidence_threshold import Pressure
 from lacewingdock.components.gateway.metrics import GatewayMetrics
 from lacewingdock.components.gateway.outcome import refused
-from lacewingdock.components.gateway.sizing import Pressure
 from lacewingdock.components.routes import Routes
 from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.suspects import Suspects
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -14,13 +14,14 @@
 )
 from lacewingdock.components.gateway.attempt import Broken, Result, Unsure
 from lacewingdock.components.gateway.cascade import Cascade
+from lacewingdock.components.gateway.confidence_threshold import Pressure
 from lacewingdock.components.gateway.exchange import (
     LAST_PRIORITY,
     MAX_UNREACHED,
     MIN_LEFT_S,
     WORK_UNIT,
 )
-from lacewingdock.components.gateway.placing import (
+from lacewingdock.components.gateway.placement import (
     NoPlace,
     Seeker,
     find_place,
@@ -29,7 +30,6 @@
     RETRY_AFTER_S,
     SPREAD_AFTER,
 )
-from lacewingdock.components.gateway.sizing import Pressure
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.pacing.const import WAIT_PART
 from lacewingdock.components.probes.prober import Prober
--- a/tests/components/gateway/test_sizing.py
+++ b/tests/components/gateway/test_confidence_threshold.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lacewingdock.components.gateway.sizing import (
+from lacewingdock.components.gateway.confidence_threshold import (
     ANY_FROM,
     CONFIDENCE_ENOUGH,
     HALF_LIFE_S,
--- a/tests/components/gateway/test_slowdown.py
+++ b/tests/components/gateway/test_slowdown.py
@@ -8,7 +8,10 @@
 
 import pytest
 
-from lacewingdock.components.gateway.sizing import CONFIDENCE_ENOUGH, Pressure
+from lacewingdock.components.gateway.confidence_threshold import (
+    CONFIDENCE_ENOUGH,
+    Pressure,
+)
 from lacewingdock.components.gateway.slowdown import HALF_LIFE_S, Slowdown
 
 REST_S = 0.025
--- a/tests/components/upstreams/signalling_fleet.py
+++ b/tests/components/upstreams/signalling_fleet.py
@@ -7,7 +7,7 @@
 import math
 from dataclasses import dataclass, field
 
-from lacewingdock.components.gateway.placing import (
+from lacewingdock.components.gateway.placement import (
     NoPlace,
     Seeker,
     find_place,
