--- a/lacewingdock/components/gateway/cascade.py
+++ b/lacewingdock/components/gateway/cascade.py
@@ -111,7 +111,7 @@
             left_s=round(left_s, 3),
         )
 
-    def placed(self, instance: Instance, *, goes_on: bool) -> None:
+    def on_instance_chosen(self, instance: Instance, *, goes_on: bool) -> None:
         """Have the largest model answer at an instance that names a limit.
 
         There each attempt counts alike, and its time does not: an answer that
@@ -127,7 +127,7 @@
         if self.model and not goes_on and instance.is_limited(now):
             self.model = self.route.models[-1]
 
-    def feel(self, result: Result, began_at: float) -> None:
+    def record_lateness(self, result: Result, began_at: float) -> None:
         """Take how late an answer began, or did not.
 
         The largest model's always counts; a smaller one's only where it is
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -26,9 +26,13 @@
     left,
     refused,
 )
-from lacewingdock.components.gateway.placement import NoPlace, Seeker, place
+from lacewingdock.components.gateway.placement import (
+    NoInstance,
+    PlacementRequest,
+    place,
+)
 from lacewingdock.components.gateway.refusal import not_run, repeats_crash
-from lacewingdock.components.gateway.request_log import finished
+from lacewingdock.components.gateway.request_log import count_outcome
 from lacewingdock.components.gateway.timeouts import (
     Patience,
     patience_for,
@@ -148,7 +152,7 @@
             outcome = self._refuse(
                 LacewingdockError(ErrorKind.INTERNAL, repr(error))
             )
-        finished(self, outcome)
+        count_outcome(self, outcome)
 
     def _admit(self) -> None:
         """Find route, workspace and time.
@@ -248,7 +252,7 @@
             self.service, self.call, again=self.may_have_run
         )
         self.unread = self._to_read()
-        seeker = Seeker(
+        placement_request = PlacementRequest(
             self.service,
             shift,
             self.unread,
@@ -256,10 +260,10 @@
             self.call.id,
             self._turn_by(),
         )
-        found = place(self.gateway.chooser, seeker)
-        if isinstance(found, NoPlace):
+        found = place(self.gateway.chooser, placement_request)
+        if isinstance(found, NoInstance):
             raise self._no_answer(f"no instance, {shift}", found.after_s)
-        self.cascade.placed(found, goes_on=self.progress.started)
+        self.cascade.on_instance_chosen(found, goes_on=self.progress.started)
         return found
 
     def _turn_by(self) -> float:
@@ -332,7 +336,7 @@
             attempt.began()
             self.gateway.chooser.done(instance)
         state = instance.state(start)
-        self.gateway.metrics.attempted(state, type(result).__name__)
+        self.gateway.metrics.count_attempt(state, type(result).__name__)
         self._note_pace(attempt, result, events)
         self._learn(instance, result, start, events)
         log_attempt(
@@ -421,7 +425,7 @@
         if not isinstance(result, NotRun):
             self.may_have_run = True
         first_at = self.progress.first_at if not events else 0.0
-        self.cascade.feel(result, first_at)
+        self.cascade.record_lateness(result, first_at)
         self.tried.append(instance.entry.incarnation)
         self.gateway.shifts.add(
             Sample(
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -50,12 +50,12 @@
     __slots__ = (
         "budgets",
         "chooser",
-        "essentials",
         "metrics",
         "odd_values",
         "pool",
         "pressures",
         "random",
+        "readiness_events",
         "retry_terms",
         "routes",
         "shifts",
@@ -86,12 +86,12 @@
         self.random = source
         self.unknown_headers = UnknownNames("answer")
         self.odd_values = UnknownNames("value")
-        self.essentials = [routes.known]
+        self.readiness_events = [routes.known]
 
     def wait_known(self, timeout_s: float) -> None:
         """Wait until what a request needs is known, as at a start."""
         until = time.monotonic() + timeout_s
-        for known in self.essentials:
+        for known in self.readiness_events:
             known.wait(max(until - time.monotonic(), 0.0))
 
     def budget(self, service: str) -> FleetBudget:
@@ -102,7 +102,7 @@
             return self.budgets.setdefault(service, budget)
         return self.budgets[service]
 
-    def share_retries(self, terms: RetryTerms) -> None:
+    def update_retry_terms(self, terms: RetryTerms) -> None:
         """Take this router's part of the fleet's retries; once a second."""
         self.retry_terms = terms
         for budget in list(self.budgets.values()):
@@ -138,7 +138,7 @@
     ) -> None:
         """Refuse a request before anything is done about it."""
         log.info("request refused", request=call.id, code=error.kind)
-        self.metrics.finished("", None, None, refused(error), 0.0)
+        self.metrics.count_outcome("", None, None, refused(error), 0.0)
         answer_error(connection, error, call.id)
 
     def refuse_unread(
@@ -146,7 +146,7 @@
     ) -> None:
         """Refuse a request that could not be read."""
         log.info("request unread", code=error.kind, detail=error.detail)
-        self.metrics.finished("", None, None, refused(error), 0.0)
+        self.metrics.count_outcome("", None, None, refused(error), 0.0)
         connection.keep = False
         answer_error(connection, error, "")
 
--- a/lacewingdock/components/gateway/metrics.py
+++ b/lacewingdock/components/gateway/metrics.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Times:
+class DurationHistogram:
     """A histogram of times.
 
     Attributes:
@@ -91,11 +91,11 @@
     def __init__(self) -> None:
         """Start at nothing."""
         self.requests: Counter[RequestLabels] = Counter()
-        self.seconds: dict[TimeLabels, Times] = {}
+        self.seconds: dict[TimeLabels, DurationHistogram] = {}
         self.attempts: Counter[AttemptLabels] = Counter()
         self._lock = threading.Lock()
 
-    def finished(
+    def count_outcome(
         self,
         service: str,
         contract: Repeat | None,
@@ -122,9 +122,9 @@
         times = TimeLabels(labels.contract, labels.rank, labels.end)
         with self._lock:
             self.requests[labels] += 1
-            self.seconds.setdefault(times, Times()).add(seconds)
+            self.seconds.setdefault(times, DurationHistogram()).add(seconds)
 
-    def attempted(self, state: InstanceState, result: str) -> None:
+    def count_attempt(self, state: InstanceState, result: str) -> None:
         """Count an attempt."""
         with self._lock:
             self.attempts[AttemptLabels(state, result)] += 1
@@ -136,7 +136,7 @@
             found.requests = self.requests.copy()
             found.attempts = self.attempts.copy()
             found.seconds = {
-                labels: Times(list(times.counts), times.total_s)
+                labels: DurationHistogram(list(times.counts), times.total_s)
                 for labels, times in self.seconds.items()
             }
         return found
--- a/lacewingdock/components/gateway/placement.py
+++ b/lacewingdock/components/gateway/placement.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seeker:
+class PlacementRequest:
     """A request that is to be placed.
 
     Attributes:
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class NoPlace:
+class NoInstance:
     """No instance takes a request now.
 
     Attributes:
@@ -49,38 +49,47 @@
     after_s: float | None
 
 
-def find_place(chooser: Chooser, seeker: Seeker) -> Instance | Turn | NoPlace:
+def find_instance(
+    chooser: Chooser, placement_request: PlacementRequest
+) -> Instance | Turn | NoInstance:
     """Return where a request goes now, counted in there.
 
     Where all that may run it take few, it is a turn that is yet to come.
     """
     chosen = chooser.choose(
-        seeker.service,
-        seeker.allows,
-        seeker.unread,
-        seeker.tried,
-        seeker.request,
+        placement_request.service,
+        placement_request.allows,
+        placement_request.unread,
+        placement_request.tried,
+        placement_request.request,
     )
     if chosen is not None:
         return chosen
     turn = chooser.reserve(
-        seeker.service, seeker.allows, seeker.unread, seeker.turn_by
+        placement_request.service,
+        placement_request.allows,
+        placement_request.unread,
+        placement_request.turn_by,
     )
     if turn is not None:
         return turn
-    return NoPlace(chooser.next_turn_s(seeker.service, seeker.allows))
+    return NoInstance(
+        chooser.next_turn_s(placement_request.service, placement_request.allows)
+    )
 
 
-def place(chooser: Chooser, seeker: Seeker) -> Instance | NoPlace:
+def place(
+    chooser: Chooser, placement_request: PlacementRequest
+) -> Instance | NoInstance:
     """Return the instance that a request goes to, once it is its turn."""
     while True:
-        found = find_place(chooser, seeker)
+        found = find_instance(chooser, placement_request)
         if not isinstance(found, Turn):
             return found
         wait_s = max(found.at - time.monotonic(), 0.0)
         log.info(
             "waits for its turn",
-            request=seeker.request,
+            request=placement_request.request,
             upstream=found.instance.entry.id,
             state=found.instance.state(found.at),
             wait_s=round(wait_s, 3),
@@ -89,5 +98,5 @@
         if found.instance.takes_any(time.monotonic()):
             return found.instance
         # It left or was cordoned meanwhile.
-        chooser.began(found.instance, seeker.unread)
+        chooser.began(found.instance, placement_request.unread)
         chooser.done(found.instance)
--- a/lacewingdock/components/gateway/request_log.py
+++ b/lacewingdock/components/gateway/request_log.py
@@ -12,13 +12,13 @@
 log = get_logger("gateway")
 
 
-def finished(exchange: "Exchange", outcome: Outcome) -> None:
+def count_outcome(exchange: "Exchange", outcome: Outcome) -> None:
     """Count and tell of a request that got its final answer."""
     seconds = time.monotonic() - exchange.started
     # One that was refused early has no route, or no cascade.
     route = getattr(exchange, "route", None)
     cascade = getattr(exchange, "cascade", None)
-    exchange.gateway.metrics.finished(
+    exchange.gateway.metrics.count_outcome(
         exchange.service,
         route.repeat if route else None,
         exchange.priority() if route else None,
--- a/lacewingdock/components/inspection/exposition.py
+++ b/lacewingdock/components/inspection/exposition.py
@@ -19,10 +19,10 @@
 from lacewingdock.components.gateway.metrics import (
     BUCKETS_S,
     AttemptLabels,
+    DurationHistogram,
     GatewayMetrics,
     RequestLabels,
     TimeLabels,
-    Times,
 )
 from lacewingdock.components.inspection.beliefs import Beliefs
 from lacewingdock.components.inspection.state import RouterState
@@ -109,6 +109,6 @@
     return found
 
 
-def _buckets(times: Times) -> list[tuple[str, float]]:
+def _buckets(times: DurationHistogram) -> list[tuple[str, float]]:
     """Return bounds and counts up to each."""
     return list(zip(_BOUNDS, accumulate(times.counts), strict=True))
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -206,7 +206,9 @@
             host, self.mirrors, self.health, self.routers, self.random
         )
         self.gateway.chooser.prober = build_prober(host, self.random)
-        self.gateway.essentials += [one.ready for one in self._essential()]
+        self.gateway.readiness_events += [
+            one.ready for one in self._essential()
+        ]
         self.callers = CallersPort(
             self.gateway,
             host.callers_address,
@@ -399,7 +401,7 @@
 
     def _keep_house(self) -> None:
         self.gateway.pool.prune()
-        self.gateway.share_retries(self._retry_terms())
+        self.gateway.update_retry_terms(self._retry_terms())
 
     def _drop_lapsed(self) -> None:
         self.directory.take_held()
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -22,9 +22,9 @@
     WORK_UNIT,
 )
 from lacewingdock.components.gateway.placement import (
-    NoPlace,
-    Seeker,
-    find_place,
+    NoInstance,
+    PlacementRequest,
+    find_instance,
 )
 from lacewingdock.components.gateway.refusal import (
     RETRY_AFTER_S,
@@ -243,12 +243,12 @@
         by = request.end - MIN_LEFT_S
         if not progress.sent:
             by = min(by, env.now + traffic.goal_s * part)
-        seeker = Seeker(
+        placement_request = PlacementRequest(
             SERVICE, VersionRule(), unread, progress.tried, request.call, by
         )
         while True:
-            found = self._found(seeker)
-            if isinstance(found, NoPlace):
+            found = self._found(placement_request)
+            if isinstance(found, NoInstance):
                 if not progress.sent:
                     after_s = max(found.after_s or 0.0, RETRY_AFTER_S)
                     spread = self.draw.uniform(1.0, SPREAD_AFTER)
@@ -262,15 +262,17 @@
             self.chooser.began(found.instance, unread)
             self.chooser.done(found.instance)
 
-    def _found(self, seeker: Seeker) -> Instance | Turn | NoPlace:
+    def _found(
+        self, placement_request: PlacementRequest
+    ) -> Instance | Turn | NoInstance:
         if self.world.policy.choice is not Choice.RANDOM:
-            return find_place(self.chooser, seeker)
+            return find_instance(self.chooser, placement_request)
         found = [one for one in self.directory.of_service(SERVICE) if one.open]
         if not found:
-            return NoPlace(None)
+            return NoInstance(None)
         chosen = self.draw.choice(found)
         chosen.running += 1
-        chosen.unread += seeker.unread
+        chosen.unread += placement_request.unread
         return chosen
 
     def _unread(self, request: Request, cascade: Cascade) -> float:
@@ -288,7 +290,7 @@
         unread = self._unread(request, cascade)
         if self.world.policy.first is FirstModel.CASCADE:
             goes_on = bool(progress.answer.first_at)
-            cascade.placed(instance, goes_on=goes_on)
+            cascade.on_instance_chosen(instance, goes_on=goes_on)
         domain = instance.entry.failure_domain
         try:
             yield self.world.env.timeout(self.world.way_s(self.domain, domain))
@@ -369,7 +371,7 @@
         self._answered(instance, engine, head, sent_at)
         is_first = not progress.answer.first_at
         accepted = not is_first or self._accepts(cascade, head, progress)
-        cascade.feel(
+        cascade.record_lateness(
             Unsure(head.confidence or 0.0), env.now if is_first else 0.0
         )
         if not accepted:
@@ -437,7 +439,7 @@
         self, cascade: Cascade, instance: Instance, *, timed_out: bool
     ) -> None:
         result: Result = Broken("lost", timed_out=timed_out)
-        cascade.feel(result, 0.0)
+        cascade.record_lateness(result, 0.0)
         instance.failed(1.0)
 
     def _goes_on(self, request: Request, progress: _Progress, end: End) -> bool:
--- a/tests/components/inspection/test_inspection.py
+++ b/tests/components/inspection/test_inspection.py
@@ -77,8 +77,8 @@
 
 METRICS = GatewayMetrics()
 for taken_s in (0.1, 0.025, 40.0):
-    METRICS.finished("svc", Repeat.ONCE, 1, answered(200), taken_s)
-METRICS.attempted(InstanceState.SOUND, "Whole")
+    METRICS.count_outcome("svc", Repeat.ONCE, 1, answered(200), taken_s)
+METRICS.count_attempt(InstanceState.SOUND, "Whole")
 
 
 @pytest.fixture
--- a/tests/components/upstreams/signalling_fleet.py
+++ b/tests/components/upstreams/signalling_fleet.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 
 from lacewingdock.components.gateway.placement import (
-    NoPlace,
-    Seeker,
-    find_place,
+    NoInstance,
+    PlacementRequest,
+    find_instance,
 )
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.shifts import VersionRule
@@ -152,11 +152,11 @@
     def offer(self, sent_at, again=False):
         """Place a request, as `place` does."""
         patience_s = self.fleet.patience_s
-        seeker = Seeker(
+        placement_request = PlacementRequest(
             "svc", VersionRule(), 1.0, (), "c", sent_at + patience_s
         )
-        found = find_place(self.chooser, seeker)
-        if isinstance(found, NoPlace):
+        found = find_instance(self.chooser, placement_request)
+        if isinstance(found, NoInstance):
             self.fleet.refused.append((self.fleet.now(), found.after_s))
         elif isinstance(found, Turn):
             wait_s = max(found.at - self.fleet.now(), 0.0)
