--- a/lacewingdock/components/gateway/attempt.py
+++ b/lacewingdock/components/gateway/attempt.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Final, TypeVar
 
-from lacewingdock.components.gateway.events import Event, EventCutter
-from lacewingdock.components.gateway.timeouts import Patience, Wait
+from lacewingdock.components.gateway.events import Event, EventSplitter
+from lacewingdock.components.gateway.timeouts import ReadTimeout, ReadTimeouts
 from lacewingdock.components.upstreams.connection import (
     CallerLeft,
     TimedOut,
@@ -115,7 +115,7 @@
     last_at: float = 0.0
     longest_pause_s: float = 0.0
 
-    def passed_on(self, events: list[Event]) -> None:
+    def record_events(self, events: list[Event]) -> None:
         """Note events that go to the caller now."""
         now = time.monotonic()
         if self.started:
@@ -163,10 +163,10 @@
         "on_began",
         "on_head",
         "on_pause",
-        "patience",
         "pool",
         "progress",
         "streaming",
+        "timeouts",
     )
 
     def __init__(
@@ -175,7 +175,7 @@
         instance: Instance,
         call: Call,
         caller: ServerConnection,
-        patience: Patience,
+        timeouts: ReadTimeouts,
         progress: Progress,
         streaming: bool,
         is_withheld: Callable[[], bool],
@@ -189,7 +189,7 @@
         self.instance = instance
         self.call = call
         self.caller = caller
-        self.patience = patience
+        self.timeouts = timeouts
         self.progress = progress
         self.streaming = streaming
         self.is_withheld = is_withheld
@@ -233,7 +233,7 @@
             )
         return result
 
-    def began(self) -> None:
+    def notify_began(self) -> None:
         """Tell that the answer began, or never will."""
         if not self.has_begun:
             self.has_begun = True
@@ -259,16 +259,18 @@
             sending.left_s,
         )
         connection.watch_caller(self.caller.sock)
-        head = self._wait(connection, self.patience.head, connection.read_head)
+        head = self._read_while_alive(
+            connection, self.timeouts.head, connection.read_head
+        )
         self.head = head
         if not head.is_by_other(self.instance.entry.id):
             # What another start says is no life of this one.
             self.instance.heard_at = connection.heard_at
         self.began_at = time.monotonic()
-        self.began()
+        self.notify_began()
         self.on_head(head)
         if head.not_run:
-            connection.read_whole(self.patience.end, MAX_BODY_BYTES)
+            connection.read_whole(self.timeouts.end, MAX_BODY_BYTES)
             return self._not_run(head), head
         if head.success and (not head.sealed or head.encoded):
             return Broken("answer is not the upstream's own"), None
@@ -277,7 +279,7 @@
             return Unsure(head.confidence or 0.0), None
         if self.streaming and head.success:
             return self._relay(connection, head)
-        body = connection.read_whole(self.patience.end, MAX_BODY_BYTES)
+        body = connection.read_whole(self.timeouts.end, MAX_BODY_BYTES)
         return Whole(head, body), head
 
     def _not_run(self, head: AnswerHead) -> NotRun:
@@ -290,11 +292,13 @@
         self, connection: UpstreamConnection, head: AnswerHead
     ) -> tuple[Result, AnswerHead | None]:
         """Pass a stream on, whole events at a time."""
-        cutter = EventCutter()
-        wait = self.patience.head
+        splitter = EventSplitter()
+        timeout = self.timeouts.head
         last_at = 0.0
         while True:
-            data = self._wait(connection, wait, connection.read_body)
+            data = self._read_while_alive(
+                connection, timeout, connection.read_body
+            )
             if last_at and data is not None:
                 pause_s = connection.heard_at - last_at
                 self.on_pause(pause_s)
@@ -302,11 +306,11 @@
             if data is None:
                 break
             last_at = connection.heard_at
-            self._pass_on(head, cutter, data)
-            wait = self.patience.gap
+            self._pass_on(head, splitter, data)
+            timeout = self.timeouts.gap
         # An answer without a length ends with its connection.
         ended = connection.ended
-        if cutter.rest:
+        if splitter.incomplete:
             detail = "stream ended in the middle of an event"
             return Broken(detail, ended=ended), None
         if not self.progress.started:
@@ -314,21 +318,21 @@
         return Streamed(), head
 
     def _pass_on(
-        self, head: AnswerHead, cutter: EventCutter, data: bytes
+        self, head: AnswerHead, splitter: EventSplitter, data: bytes
     ) -> None:
-        events = cutter.feed(data)
+        events = splitter.append(data)
         if not events:
             return
         is_first = not self.progress.started
-        self.progress.passed_on(events)
+        self.progress.record_events(events)
         if is_first:
             self.caller.start(head.status, head.headers)
         self.caller.send(b"".join(event.data for event in events))
 
-    def _wait(
+    def _read_while_alive(
         self,
         connection: UpstreamConnection,
-        wait: Wait,
+        timeout: ReadTimeout,
         read: Callable[[float], T],
     ) -> T:
         """Read a piece, for as long as the instance shows life.
@@ -340,13 +344,13 @@
             TimedOut: Nothing came in time.
         """
         start = time.monotonic()
-        last = min(start + wait.queued_s, self.patience.end)
-        until = min(start + wait.silent_s, last)
+        last = min(start + timeout.queued_s, self.timeouts.end)
+        until = min(start + timeout.silent_s, last)
         while True:
             try:
                 return read(until)
             except TimedOut:
-                alive = self.instance.alive_at > until - wait.silent_s
+                alive = self.instance.alive_at > until - timeout.silent_s
                 if until >= last or not alive:
                     raise
-                until = min(until + wait.silent_s, last)
+                until = min(until + timeout.silent_s, last)
--- a/lacewingdock/components/gateway/cascade.py
+++ b/lacewingdock/components/gateway/cascade.py
@@ -25,7 +25,7 @@
 log = get_logger("gateway")
 
 
-class Shared(Protocol):
+class CascadeContext(Protocol):
     """What all requests of a router share, as far as models hang on it."""
 
     chooser: Chooser
@@ -52,9 +52,9 @@
 
     __slots__ = (
         "call",
-        "enough",
         "gateway",
         "model",
+        "required_confidence",
         "route",
         "service",
         "started",
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        gateway: Shared,
+        gateway: CascadeContext,
         call: Call,
         route: Route,
         service: str,
@@ -74,7 +74,7 @@
         self.route = route
         self.service = service
         self.started = started
-        self.enough = CONFIDENCE_ENOUGH
+        self.required_confidence = CONFIDENCE_ENOUGH
         self.model = self._first() if call.any_model and route.models else ""
 
     @property
@@ -91,10 +91,13 @@
         """
         if self.is_largest or attempts >= self.route.max_attempts:
             return True
-        self.enough = self.gateway.pressure(self.service).enough(
-            self.route.gap_s
-        )
-        if head.confidence is None or head.confidence >= self.enough:
+        self.required_confidence = self.gateway.pressure(
+            self.service
+        ).required_confidence(self.route.gap_s)
+        if (
+            head.confidence is None
+            or head.confidence >= self.required_confidence
+        ):
             return True
         return not self.gateway.budget(self.service).take()
 
@@ -107,7 +110,7 @@
             upstream=upstream,
             model=before,
             confidence=result.confidence,
-            enough=round(self.enough, 1),
+            enough=round(self.required_confidence, 1),
             left_s=round(left_s, 3),
         )
 
--- a/lacewingdock/components/gateway/confidence_threshold.py
+++ b/lacewingdock/components/gateway/confidence_threshold.py
@@ -28,7 +28,7 @@
 HALF_LIFE_S: Final = 3.0
 # A single answer counts no more than this: beyond, it is late by any measure,
 # and the mean must come down again soon after a burst.
-MOST: Final = 1.5
+MAX_LATENESS: Final = 1.5
 # A goal of nothing would make every answer late without end.
 MIN_GOAL_S: Final = 1e-3
 
@@ -57,7 +57,7 @@
         """Count an answer that began after a part of its goal."""
         with self._lock:
             before = self.now()
-            part = min(part, MOST)
+            part = min(part, MAX_LATENESS)
             self.mean = before + NEW_WEIGHT * (part - before)
             self.at = self.clock.now()
 
@@ -66,26 +66,30 @@
         age_s = self.clock.now() - self.at
         return float(self.mean * 0.5 ** (age_s / HALF_LIFE_S))
 
-    def enough(self, gap_s: float = 0.0) -> float:
+    def required_confidence(self, gap_s: float = 0.0) -> float:
         """Return the confidence that is enough for a smaller model.
 
         Args:
             gap_s: The longest pause between two events that is on time; 0 where
                 any is.
         """
-        room = min(
-            _room(self.now(), RELAXED_BELOW, ANY_FROM),
-            _room(
+        scale = min(
+            _confidence_scale(self.now(), RELAXED_BELOW, ANY_FROM),
+            _confidence_scale(
                 self.slowdown.now(), RELAXED_BELOW_SLOWDOWN, ANY_FROM_SLOWDOWN
             ),
         )
         if gap_s > 0.0:
             part = self.slowdown.pause_s() / gap_s
-            room = min(room, _room(part, RELAXED_BELOW_GAP, ANY_FROM_GAP))
-        return CONFIDENCE_ENOUGH * room
+            scale = min(
+                scale, _confidence_scale(part, RELAXED_BELOW_GAP, ANY_FROM_GAP)
+            )
+        return CONFIDENCE_ENOUGH * scale
 
 
-def _room(value: float, relaxed_below: float, any_from: float) -> float:
+def _confidence_scale(
+    value: float, relaxed_below: float, any_from: float
+) -> float:
     """Return how much of the usual confidence is asked for, from 0 to 1."""
-    room = (any_from - value) / (any_from - relaxed_below)
-    return min(max(room, 0.0), 1.0)
+    scale = (any_from - value) / (any_from - relaxed_below)
+    return min(max(scale, 0.0), 1.0)
--- a/lacewingdock/components/gateway/events.py
+++ b/lacewingdock/components/gateway/events.py
@@ -22,22 +22,22 @@
     data: bytes
 
 
-class EventCutter:
+class EventSplitter:
     """Cuts bytes into events, and keeps the rest for the next ones.
 
     Attributes:
         rest: Bytes of an event that is not whole yet.
     """
 
-    __slots__ = ("rest",)
+    __slots__ = ("incomplete",)
 
     def __init__(self) -> None:
         """Start at the beginning of an event."""
-        self.rest = b""
+        self.incomplete = b""
 
-    def feed(self, data: bytes) -> list[Event]:
+    def append(self, data: bytes) -> list[Event]:
         """Take bytes and return the events that they make whole."""
-        text = self.rest + data
+        text = self.incomplete + data
         found = []
         start = 0
         for end in _END.finditer(text):
@@ -46,5 +46,5 @@
             event_id = named[1].decode("latin-1") if named else ""
             found.append(Event(event_id, event))
             start = end.end()
-        self.rest = text[start:]
+        self.incomplete = text[start:]
         return found
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -29,14 +29,17 @@
 from lacewingdock.components.gateway.placement import (
     NoInstance,
     PlacementRequest,
-    place,
+    wait_for_instance,
 )
-from lacewingdock.components.gateway.refusal import not_run, repeats_crash
-from lacewingdock.components.gateway.request_log import count_outcome
+from lacewingdock.components.gateway.refusal import (
+    not_run_error,
+    repeats_crash_error,
+)
+from lacewingdock.components.gateway.request_log import report_outcome
 from lacewingdock.components.gateway.timeouts import (
-    Patience,
-    patience_for,
-    patience_of_last,
+    ReadTimeouts,
+    timeouts_before_retry,
+    timeouts_of_last_attempt,
 )
 from lacewingdock.components.pacing.const import WAIT_PART
 from lacewingdock.components.shifts import Sample
@@ -62,7 +65,7 @@
 # store; a refusal would have the caller wait longer.
 START_WAIT_S: Final = 0.4
 # Waits of callers that do not say how long; beyond any route's timeout.
-DEFAULT_PATIENCE_S: Final = 60.0
+DEFAULT_TIMEOUT_S: Final = 60.0
 
 # Streams with fewer events show no pace: they may all come at once.
 MIN_PACE_EVENTS: Final = 4
@@ -100,9 +103,9 @@
         "caller",
         "cascade",
         "connection",
-        "crashes",
         "end",
         "gateway",
+        "is_poison",
         "may_have_run",
         "progress",
         "route",
@@ -128,13 +131,13 @@
         self.started = connection.read_at
         self.caller: Caller | None = None
         self.service = ""
-        self.end = self.started + DEFAULT_PATIENCE_S
+        self.end = self.started + DEFAULT_TIMEOUT_S
         self.progress = Progress()
         self.tried: list[str] = []
         self.unreached = 0
         self.unread = 0.0
         self.may_have_run = False
-        self.crashes = False
+        self.is_poison = False
 
     def run(self) -> None:
         """Serve the request to its final answer."""
@@ -152,7 +155,7 @@
             outcome = self._refuse(
                 LacewingdockError(ErrorKind.INTERNAL, repr(error))
             )
-        count_outcome(self, outcome)
+        report_outcome(self, outcome)
 
     def _admit(self) -> None:
         """Find route, workspace and time.
@@ -161,7 +164,7 @@
             LacewingdockError: NOT_READY, NOT_FOUND or UNAUTHORIZED.
         """
         call = self.call
-        self.gateway.wait_known(START_WAIT_S)
+        self.gateway.wait_until_ready(START_WAIT_S)
         table = self.gateway.routes.table
         if table is None:
             raise LacewingdockError(
@@ -186,7 +189,7 @@
             patience_s = min(patience_s, call.patience_s)
         self.end = self.started + patience_s
         if self.gateway.suspects.holds(call, self.workspace):
-            raise repeats_crash()
+            raise repeats_crash_error()
         self.service = self._service()
         self.cascade = Cascade(
             self.gateway, call, route, self.service, self.started
@@ -251,22 +254,22 @@
         shift = self.gateway.shifts.version(
             self.service, self.call, again=self.may_have_run
         )
-        self.unread = self._to_read()
+        self.unread = self._unread_work()
         placement_request = PlacementRequest(
             self.service,
             shift,
             self.unread,
             self.tried,
             self.call.id,
-            self._turn_by(),
+            self._turn_deadline(),
         )
-        found = place(self.gateway.chooser, placement_request)
+        found = wait_for_instance(self.gateway.chooser, placement_request)
         if isinstance(found, NoInstance):
             raise self._no_answer(f"no instance, {shift}", found.after_s)
         self.cascade.on_instance_chosen(found, goes_on=self.progress.started)
         return found
 
-    def _turn_by(self) -> float:
+    def _turn_deadline(self) -> float:
         """Return until when a turn at an instance is waited for.
 
         More urgent requests wait longer, so where turns are few the others
@@ -292,12 +295,12 @@
             after_s: Seconds after which there may be one, if that is known.
         """
         if not self.may_have_run:
-            return not_run(detail, after_s, self.gateway.random)
+            return not_run_error(detail, after_s, self.gateway.random)
         if time.monotonic() >= self.end:
             return LacewingdockError(ErrorKind.DEADLINE, detail)
         return LacewingdockError(ErrorKind.UPSTREAM_FAILED, detail)
 
-    def _to_read(self) -> float:
+    def _unread_work(self) -> float:
         """Return what the request has to read at an instance."""
         call = self.call
         costs = self.table.services.get(self.service)
@@ -311,13 +314,15 @@
             instance,
             self.call,
             self.connection,
-            self._patience(instance),
+            self._timeouts(instance),
             self.progress,
             self.route.streaming,
-            lambda: self._is_held() or not instance.takes_any(time.monotonic()),
+            lambda: (
+                self._check_poison() or not instance.takes_any(time.monotonic())
+            ),
             # This attempt is not among those counted yet.
             lambda head: self.cascade.accepts(head, len(self.tried) + 1),
-            lambda head: self.gateway.answered(instance, head, start),
+            lambda head: self.gateway.record_head(instance, head, start),
             lambda: self.gateway.chooser.began(instance, unread),
             self.gateway.pressure(self.service).slowdown.paused,
         )
@@ -333,12 +338,12 @@
         try:
             result = attempt.run(sending)
         finally:
-            attempt.began()
+            attempt.notify_began()
             self.gateway.chooser.done(instance)
         state = instance.state(start)
         self.gateway.metrics.count_attempt(state, type(result).__name__)
-        self._note_pace(attempt, result, events)
-        self._learn(instance, result, start, events)
+        self._record_pace(attempt, result, events)
+        self._record_result(instance, result, start, events)
         log_attempt(
             self.gateway.chooser,
             self.call,
@@ -350,15 +355,15 @@
         )
         return result
 
-    def _is_held(self) -> bool:
+    def _check_poison(self) -> bool:
         """Whether it is known by now that it crashes what runs it.
 
         It may have waited for a turn or a connection since it was admitted.
         """
-        if not self.crashes:
+        if not self.is_poison:
             suspects = self.gateway.suspects
-            self.crashes = suspects.is_held(self.call, self.workspace)
-        return self.crashes
+            self.is_poison = suspects.is_held(self.call, self.workspace)
+        return self.is_poison
 
     def priority(self) -> int:
         """Return the request's rank; its workspace's goes first."""
@@ -367,7 +372,7 @@
             rank = self.caller.priority
         return min(max(rank, 0), LAST_PRIORITY)
 
-    def _patience(self, instance: Instance) -> Patience:
+    def _timeouts(self, instance: Instance) -> ReadTimeouts:
         """Return how long an attempt waits."""
         may_repeat = (
             self.route.repeat is not Repeat.ONCE
@@ -377,10 +382,12 @@
             )
         )
         if may_repeat:
-            return patience_for(self.route, self.end)
-        return patience_of_last(self.end)
+            return timeouts_before_retry(self.route, self.end)
+        return timeouts_of_last_attempt(self.end)
 
-    def _note_pace(self, attempt: Attempt, result: Result, events: int) -> None:
+    def _record_pace(
+        self, attempt: Attempt, result: Result, events: int
+    ) -> None:
         """Take at what pace a whole stream went on.
 
         Args:
@@ -393,7 +400,7 @@
             mean_s = (time.monotonic() - attempt.began_at) / count
             self.gateway.pressure(self.service).slowdown.ended(mean_s)
 
-    def _learn(
+    def _record_result(
         self, instance: Instance, result: Result, start: float, events: int
     ) -> None:
         """Take what an attempt shows of its instance and its version."""
@@ -414,7 +421,7 @@
                 instance.failed(0.5)
             case Broken():
                 instance.failed(1.0)
-                self._note_loss(instance, result)
+                self._record_loss(instance, result)
             case Whole(head, _) if head.status >= SERVER_ERROR:
                 instance.failed(0.5)
             case _:
@@ -446,19 +453,19 @@
             self.gateway.chooser.directory.may_be_cold(instance)
         instance.succeeded()
 
-    def _note_loss(self, instance: Instance, result: Broken) -> None:
+    def _record_loss(self, instance: Instance, result: Broken) -> None:
         """Note that an instance lost the request, which may be the cause."""
         suspects, start = self.gateway.suspects, instance.entry.incarnation
         if not result.ended:
             suspects.passed_over(self.call, start, Decision.NOT_ENDED)
             return
-        self.crashes = self.gateway.suspects.lost(
+        self.is_poison = self.gateway.suspects.lost(
             self.call, self.workspace, instance.entry.incarnation
         )
 
     def _may_repeat(self, result: Result) -> bool:
         """Whether another attempt may be made, and can still be answered."""
-        if self._is_held() or self.end - time.monotonic() < MIN_LEFT_S:
+        if self._check_poison() or self.end - time.monotonic() < MIN_LEFT_S:
             return False
         if isinstance(result, NotRun) and result.withheld:
             # It is not chosen again, so there is an end.
@@ -483,8 +490,8 @@
         detail = getattr(result, "detail", "upstream failed")
         if self.progress.started:
             return self._break_off(detail)
-        if self.crashes and not self.may_have_run:
-            raise repeats_crash()
+        if self.is_poison and not self.may_have_run:
+            raise repeats_crash_error()
         after_s = self.gateway.chooser.next_turn_s(self.service)
         raise self._no_answer(detail, after_s)
 
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -88,7 +88,7 @@
         self.odd_values = UnknownNames("value")
         self.readiness_events = [routes.known]
 
-    def wait_known(self, timeout_s: float) -> None:
+    def wait_until_ready(self, timeout_s: float) -> None:
         """Wait until what a request needs is known, as at a start."""
         until = time.monotonic() + timeout_s
         for known in self.readiness_events:
@@ -112,7 +112,7 @@
         """Return how late a service's answers begin."""
         return self.pressures.setdefault(service, Pressure())
 
-    def answered(
+    def record_head(
         self, instance: Instance, head: AnswerHead, sent_at: float
     ) -> None:
         """Take what the head of an answer says of its instance.
--- a/lacewingdock/components/gateway/placement.py
+++ b/lacewingdock/components/gateway/placement.py
@@ -31,7 +31,7 @@
     unread: float
     tried: Collection[str]
     request: str
-    turn_by: float
+    turn_deadline: float
 
     def allows(self, instance: Instance) -> bool:
         """Whether an instance may run it."""
@@ -69,7 +69,7 @@
         placement_request.service,
         placement_request.allows,
         placement_request.unread,
-        placement_request.turn_by,
+        placement_request.turn_deadline,
     )
     if turn is not None:
         return turn
@@ -78,7 +78,7 @@
     )
 
 
-def place(
+def wait_for_instance(
     chooser: Chooser, placement_request: PlacementRequest
 ) -> Instance | NoInstance:
     """Return the instance that a request goes to, once it is its turn."""
--- a/lacewingdock/components/gateway/refusal.py
+++ b/lacewingdock/components/gateway/refusal.py
@@ -12,7 +12,7 @@
 SPREAD_AFTER: Final = 1.5
 
 
-def not_run(
+def not_run_error(
     detail: str, after_s: float | None, source: random.Random
 ) -> LacewingdockError:
     """Return the error of a request that never ran and never will.
@@ -32,7 +32,7 @@
     )
 
 
-def repeats_crash() -> LacewingdockError:
+def repeats_crash_error() -> LacewingdockError:
     """Return the error of a request that crashes what runs it."""
     return LacewingdockError(
         ErrorKind.REPEATS_CRASH, "it was lost at several instances"
--- a/lacewingdock/components/gateway/request_log.py
+++ b/lacewingdock/components/gateway/request_log.py
@@ -12,7 +12,7 @@
 log = get_logger("gateway")
 
 
-def count_outcome(exchange: "Exchange", outcome: Outcome) -> None:
+def report_outcome(exchange: "Exchange", outcome: Outcome) -> None:
     """Count and tell of a request that got its final answer."""
     seconds = time.monotonic() - exchange.started
     # One that was refused early has no route, or no cascade.
--- a/lacewingdock/components/gateway/timeouts.py
+++ b/lacewingdock/components/gateway/timeouts.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wait:
+class ReadTimeout:
     """How long an attempt waits for the next piece of an answer.
 
     Attributes:
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Patience:
+class ReadTimeouts:
     """How long an attempt waits.
 
     Attributes:
@@ -49,12 +49,12 @@
         end: Monotonic time at which the request is given up.
     """
 
-    head: Wait
-    gap: Wait
+    head: ReadTimeout
+    gap: ReadTimeout
     end: float
 
 
-def patience_of_last(end: float) -> Patience:
+def timeouts_of_last_attempt(end: float) -> ReadTimeouts:
     """Return the patience where no other instance may be asked.
 
     Silence is no reason to end such an attempt: the answer may come yet.
@@ -63,11 +63,11 @@
         end: Monotonic time at which the request is given up.
     """
     left_s = max(end - time.monotonic(), 0.0)
-    whole = Wait(left_s, left_s)
-    return Patience(whole, whole, end)
+    whole = ReadTimeout(left_s, left_s)
+    return ReadTimeouts(whole, whole, end)
 
 
-def patience_for(route: Route, end: float) -> Patience:
+def timeouts_before_retry(route: Route, end: float) -> ReadTimeouts:
     """Return the patience where another instance may be asked.
 
     Args:
@@ -75,12 +75,12 @@
         end: Monotonic time at which the request is given up.
     """
     queued = QUEUED_GOALS if route.streaming else QUEUED_GOALS_WHOLE
-    head = Wait(
+    head = ReadTimeout(
         max(route.goal_s * SILENT_GOALS, MIN_HEAD_S),
         max(route.goal_s * queued, MIN_HEAD_S),
     )
-    gap = Wait(
+    gap = ReadTimeout(
         max(route.gap_s * SILENT_GAPS, MIN_GAP_S),
         max(route.gap_s * QUEUED_GAPS, MIN_GAP_S),
     )
-    return Patience(head, gap, end)
+    return ReadTimeouts(head, gap, end)
--- a/tests/components/gateway/conftest.py
+++ b/tests/components/gateway/conftest.py
@@ -4,31 +4,31 @@
 
 import pytest
 
-from tests.components.gateway.fakes import Stage, route
+from tests.components.gateway.fakes import GatewayHarness, route
 
 
 @pytest.fixture
-def staged():
+def build_harness():
     made = []
 
     def make(*args, **kwargs):
-        made.append(Stage(*args, **kwargs))
+        made.append(GatewayHarness(*args, **kwargs))
         return made[-1]
 
     yield make
-    for stage in made:
-        stage.close()
+    for harness in made:
+        harness.close()
 
 
 @pytest.fixture
-def stages():
+def build_one_route():
     """Builds gateways with one route, and closes them and their upstreams."""
     built = []
 
     def build(*upstreams, **changes):
-        stage = Stage([route(**changes)], upstreams)
-        built.extend([stage, *upstreams])
-        return stage
+        harness = GatewayHarness([route(**changes)], upstreams)
+        built.extend([harness, *upstreams])
+        return harness
 
     yield build
     for one in built:
--- a/tests/components/gateway/fakes.py
+++ b/tests/components/gateway/fakes.py
@@ -231,7 +231,7 @@
     return Route(**fields)
 
 
-class Stage:
+class GatewayHarness:
     """A gateway before fake upstreams, and callers of it.
 
     Attributes:
--- a/tests/components/gateway/scripted.py
+++ b/tests/components/gateway/scripted.py
@@ -19,7 +19,7 @@
 }
 
 
-class Counting(Upstream):
+class RepeatingUpstream(Upstream):
     """An instance that answers each request alike, and notes when it came."""
 
     def __init__(self, extra=b"", step=None):
@@ -42,7 +42,7 @@
     )
 
 
-class SlowPool:
+class InterceptedPool:
     """A pool of connections to which something happens as one is taken."""
 
     def __init__(self, take, pool):
--- a/tests/components/gateway/test_answer_news.py
+++ b/tests/components/gateway/test_answer_news.py
@@ -8,7 +8,12 @@
     UnknownNames,
 )
 from lacewingdock.world.call import AnswerHead
-from tests.components.gateway.fakes import Stage, Upstream, answer, route
+from tests.components.gateway.fakes import (
+    GatewayHarness,
+    Upstream,
+    answer,
+    route,
+)
 
 
 @pytest.fixture
@@ -31,14 +36,14 @@
 def served(*steps):
     """Return the gateway after as many requests as the upstream has steps."""
     upstream = Upstream(*steps)
-    stage = Stage([route(max_attempts=1)], [upstream])
+    harness = GatewayHarness([route(max_attempts=1)], [upstream])
     try:
         for number in range(len(steps)):
-            stage.call(call_id=f"c-{number}")
+            harness.call(call_id=f"c-{number}")
     finally:
-        stage.close()
+        harness.close()
         upstream.close()
-    return stage
+    return harness
 
 
 @pytest.mark.parametrize(
@@ -55,7 +60,7 @@
     ],
 )
 def test_limit_is_told_as_it_changes(lines, words, believed, told):
-    stage = served(
+    harness = served(
         *(
             answer()
             if word is None
@@ -63,7 +68,7 @@
             for word in words
         )
     )
-    assert stage.directory.instances["i-1"].limit.own_per_s == believed
+    assert harness.directory.instances["i-1"].limit.own_per_s == believed
     assert [
         fields["per_s"] for message, fields in lines if message == "limit"
     ] == told
@@ -79,8 +84,8 @@
     ],
 )
 def test_answer_that_is_not_the_instances_own_ends_no_limit(step):
-    stage = served(answer(extra=b"Server-Limit: 3\r\n"), step)
-    [signals] = stage.directory.signals.known.values()
+    harness = served(answer(extra=b"Server-Limit: 3\r\n"), step)
+    [signals] = harness.directory.signals.known.values()
     assert signals.limit.own_per_s == 3.0
 
 
@@ -90,28 +95,28 @@
     Sequence: a request is sent, another one is answered with a limit, and the
     first one's answer, which left before, comes after it.
     """
-    stage = served(answer(extra=b"Server-Limit: 3\r\n"), answer())
-    instance = stage.directory.instances["i-1"]
-    head = stage_head(limit_per_s=3.0)
-    stage.gateway.answered(instance, head, 0.0)
+    harness = served(answer(extra=b"Server-Limit: 3\r\n"), answer())
+    instance = harness.directory.instances["i-1"]
+    head = good_head(limit_per_s=3.0)
+    harness.gateway.record_head(instance, head, 0.0)
     early = instance.limit.named_at - 0.01
-    stage.gateway.answered(instance, stage_head(), early)
+    harness.gateway.record_head(instance, good_head(), early)
     assert instance.limit.own_per_s == 3.0
-    stage.gateway.answered(instance, stage_head(), early + 0.02)
+    harness.gateway.record_head(instance, good_head(), early + 0.02)
     assert instance.limit.own_per_s is None
 
 
-def stage_head(**fields):
+def good_head(**fields):
     """Return the head of a good answer."""
     return AnswerHead(200, [], sealed=True, **fields)
 
 
 def test_unknown_header_is_told_once(lines):
-    stage = served(
+    harness = served(
         answer(extra=b"Server-Mood: poor\r\n"),
         answer(extra=b"Server-Mood: good\r\n"),
     )
-    assert stage.gateway.unknown_headers.counts() == {"server-mood": 2}
+    assert harness.gateway.unknown_headers.counts() == {"server-mood": 2}
     assert [line for line in lines if line[0] == "unknown name"] == [
         (
             "unknown name",
@@ -135,11 +140,11 @@
 
 
 def test_value_that_can_not_be_read_is_told_once(lines):
-    stage = served(
+    harness = served(
         answer(extra=b"Server-Leaving: soon\r\n"),
         answer(extra=b"Server-Leaving: now\r\n"),
     )
-    assert stage.gateway.odd_values.counts() == {"server-leaving": 2}
+    assert harness.gateway.odd_values.counts() == {"server-leaving": 2}
     [told] = [fields for message, fields in lines if message == "unknown name"]
     assert told == {"where": "value", "name": "server-leaving", "source": "i-1"}
 
--- a/tests/components/gateway/test_at_most_once.py
+++ b/tests/components/gateway/test_at_most_once.py
@@ -28,7 +28,7 @@
 
 
 # What the upstream does with the request, and whether it says it did not run.
-FATES = {
+RESPONSES = {
     "close before the answer": send(then="close"),
     "reset before the answer": send(then="reset"),
     "silent": send(then="silent"),
@@ -47,16 +47,18 @@
 
 
 @pytest.mark.parametrize("kept", [False, True], ids=["fresh", "kept"])
-@pytest.mark.parametrize("fate", FATES)
-def test_request_that_may_run_once_is_written_once(staged, fate, kept):
+@pytest.mark.parametrize("response", RESPONSES)
+def test_request_that_may_run_once_is_written_once(
+    build_harness, response, kept
+):
     first = [answer()] if kept else []
-    upstreams = [Upstream(*first, FATES[fate]), Upstream()]
-    stage = staged([route(Repeat.ONCE, timeout_s=0.5)], upstreams)
-    stage.directory.remove("i-2", doubtful=False)
+    upstreams = [Upstream(*first, RESPONSES[response]), Upstream()]
+    harness = build_harness([route(Repeat.ONCE, timeout_s=0.5)], upstreams)
+    harness.directory.remove("i-2", doubtful=False)
     if kept:
-        assert stage.call(call_id="c-0")[0] == 200
-    stage.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
-    status, headers, _ = stage.call(call_id="c-1")
+        assert harness.call(call_id="c-0")[0] == 200
+    harness.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
+    status, headers, _ = harness.call(call_id="c-1")
     assert status in (502, 504)
     assert headers["attempt-id"] == "c-1"
     written = [
@@ -69,12 +71,14 @@
     assert upstreams[0].connections == 1
 
 
-@pytest.mark.parametrize("fate", FATES)
-def test_request_that_may_repeat_is_answered_by_another(staged, fate):
-    upstreams = [Upstream(FATES[fate]), Upstream()]
-    stage = staged([route()], upstreams)
-    stage.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
-    status, _, body = stage.call()
+@pytest.mark.parametrize("response", RESPONSES)
+def test_request_that_may_repeat_is_answered_by_another(
+    build_harness, response
+):
+    upstreams = [Upstream(RESPONSES[response]), Upstream()]
+    harness = build_harness([route()], upstreams)
+    harness.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
+    status, _, body = harness.call()
     assert (status, body) == (200, b"done")
     assert [len(u.requests) for u in upstreams] == [1, 1]
 
@@ -83,52 +87,54 @@
     ("attempts", "status", "sent"), [(1, 503, 1), (3, 200, 2)]
 )
 def test_refusal_of_the_upstream_is_the_only_proof(
-    staged, attempts, status, sent
+    build_harness, attempts, status, sent
 ):
     upstreams = [Upstream(refuse()), Upstream()]
-    stage = staged([route(Repeat.ONCE, max_attempts=attempts)], upstreams)
-    stage.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
-    found, headers, _ = stage.call()
+    harness = build_harness(
+        [route(Repeat.ONCE, max_attempts=attempts)], upstreams
+    )
+    harness.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
+    found, headers, _ = harness.call()
     assert found == status
     assert sum(len(u.requests) for u in upstreams) == sent
     if status == 503:
         assert 0 < float(headers["retry-after"]) < 1
 
 
-def test_unreached_upstream_is_no_attempt(staged):
+def test_unreached_upstream_is_no_attempt(build_harness):
     gone, live = Upstream(), Upstream()
-    stage = staged([route(Repeat.ONCE, max_attempts=1)], [gone, live])
-    stage.directory.take(live.entry("i-2", failure_domain="d2"))
+    harness = build_harness([route(Repeat.ONCE, max_attempts=1)], [gone, live])
+    harness.directory.take(live.entry("i-2", failure_domain="d2"))
     gone.close()
-    assert stage.call()[0] == 200
+    assert harness.call()[0] == 200
 
 
-def test_no_refusal_once_an_attempt_may_have_run(staged):
+def test_no_refusal_once_an_attempt_may_have_run(build_harness):
     """Symptom: a caller is told "not run" of a request that ran.
 
     The instance runs it, breaks off and is gone; no other one is there.
     Cause: the lack of an instance was answered as if nothing had been sent.
     """
-    stages = []
+    build_one_route = []
 
     def run_and_leave(*_):
-        stages[0].directory.remove("i-1", doubtful=False)
+        build_one_route[0].directory.remove("i-1", doubtful=False)
         return False
 
     upstream = Upstream(run_and_leave)
-    stages.append(staged([route()], [upstream]))
-    status, _, body = stages[0].call()
+    build_one_route.append(build_harness([route()], [upstream]))
+    status, _, body = build_one_route[0].call()
     assert (status, b'"ran":"unknown"' in body) == (502, True)
 
 
-def test_upstreams_own_failure_is_passed_on_unchanged(staged):
+def test_upstreams_own_failure_is_passed_on_unchanged(build_harness):
     upstream = Upstream(answer(b"why", status=b"500 Oops"))
-    stage = staged([route(Repeat.ONCE)], [upstream])
-    status, headers, body = stage.call()
+    harness = build_harness([route(Repeat.ONCE)], [upstream])
+    status, headers, body = harness.call()
     assert (status, headers["response-seal"], body) == (500, "s", b"why")
 
 
-def test_second_answer_is_told_by_its_id(staged):
+def test_second_answer_is_told_by_its_id(build_harness):
     """Symptom: a caller gets the answer to another caller's request.
 
     An upstream sends a second answer to an earlier request late, where the
@@ -138,30 +144,30 @@
     second = send(
         lambda _: ok(b"c-0", b"again"), lambda i: ok(i, b"mine"), then="keep"
     )
-    stage = staged([route(Repeat.ONCE)], [Upstream(late, second)])
-    sock = stage.connect()
-    assert stage.call(sock, call_id="c-0")[2] == b"done"
-    assert stage.call(sock, call_id="c-1")[2] == b"mine"
+    harness = build_harness([route(Repeat.ONCE)], [Upstream(late, second)])
+    sock = harness.connect()
+    assert harness.call(sock, call_id="c-0")[2] == b"done"
+    assert harness.call(sock, call_id="c-1")[2] == b"mine"
 
 
-def test_bytes_after_an_answer_spoil_the_connection(staged):
+def test_bytes_after_an_answer_spoil_the_connection(build_harness):
     extra = send(lambda i: ok(i) + ok(i, b"again"), then="keep")
     upstream = Upstream(extra, answer(b"mine"))
-    stage = staged([route(Repeat.ONCE)], [upstream])
-    assert stage.call(call_id="c-0")[2] == b"done"
-    assert stage.call(call_id="c-1")[2] == b"mine"
+    harness = build_harness([route(Repeat.ONCE)], [upstream])
+    assert harness.call(call_id="c-0")[2] == b"done"
+    assert harness.call(call_id="c-1")[2] == b"mine"
     assert upstream.connections == 2
 
 
-def test_headers_that_are_the_routers_to_set(staged):
+def test_headers_that_are_the_routers_to_set(build_harness):
     upstream = Upstream()
-    stage = staged([route()], [upstream])
+    harness = build_harness([route()], [upstream])
     extra = (
         "Tenant: other\r\nHold: h\r\nPin-Ms: 9\r\nKv-From: a\r\n"
         "Kv-Backup: b\r\nExpect-Instance: x\r\nKeep-Alive: 5\r\n"
         "X-Mine: yes\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
     )
-    assert stage.call(extra=extra)[0] == 200
+    assert harness.call(extra=extra)[0] == 200
     lines = upstream.requests[0].split("\r\n")
     assert lines[0] == "POST /r/x?q=1 HTTP/1.1"
     found = {line.split(": ")[0].lower() for line in lines[1:]}
--- a/tests/components/gateway/test_bad_input.py
+++ b/tests/components/gateway/test_bad_input.py
@@ -4,7 +4,7 @@
 
 from lacewingdock.world.route import CallerLimits
 from tests.components.gateway.fakes import (
-    Stage,
+    GatewayHarness,
     Upstream,
     answer,
     read_answer,
@@ -17,9 +17,9 @@
 
 
 @pytest.fixture(scope="module")
-def stage():
+def harness():
     upstream = Upstream(*[answer()] * 50)
-    found = Stage([route(public=False)], [upstream], LIMITS)
+    found = GatewayHarness([route(public=False)], [upstream], LIMITS)
     found.upstream = upstream
     yield found
     found.close()
@@ -69,48 +69,48 @@
 
 
 @pytest.mark.parametrize("name", REQUESTS)
-def test_refused(stage, name):
+def test_refused(harness, name):
     data, status, code = REQUESTS[name]
-    before = len(stage.upstream.requests)
-    sock = stage.connect()
+    before = len(harness.upstream.requests)
+    sock = harness.connect()
     sock.sendall(data)
     found, headers, body = read_answer(sock)
     assert (found, f'"code":"{code}"'.encode() in body) == (status, True)
     assert headers["content-type"] == "application/problem+json"
-    assert len(stage.upstream.requests) == before
+    assert len(harness.upstream.requests) == before
 
 
-def test_chunked_body_arrives_whole(stage):
+def test_chunked_body_arrives_whole(harness):
     data = HEAD + "Credential: key-1\r\nTransfer-Encoding: chunked\r\n\r\n"
-    sock = stage.connect()
+    sock = harness.connect()
     sock.sendall(data.encode() + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
     assert read_answer(sock)[0] == 200
-    assert stage.upstream.bodies[-1] == b"abcde"
+    assert harness.upstream.bodies[-1] == b"abcde"
 
 
-def test_idle_connection_is_closed(stage):
-    sock = stage.connect()
+def test_idle_connection_is_closed(harness):
+    sock = harness.connect()
     assert sock.recv(1) == b""
 
 
-def test_first_configuration_is_waited_for(stage):
-    table, stage.routes.table = stage.routes.table, None
-    stage.routes.known.clear()
+def test_first_configuration_is_waited_for(harness):
+    table, harness.routes.table = harness.routes.table, None
+    harness.routes.known.clear()
     try:
-        status, _, body = stage.call()
+        status, _, body = harness.call()
         assert (status, b"not_ready" in body) == (503, True)
     finally:
-        stage.routes.table = table
-        stage.routes.known.set()
+        harness.routes.table = table
+        harness.routes.known.set()
 
 
-def test_shut_port_refuses_what_it_reads(stage):
-    sock = stage.connect()
-    assert stage.call(sock)[0] == 200
-    stage.port.is_shut = True
+def test_shut_port_refuses_what_it_reads(harness):
+    sock = harness.connect()
+    assert harness.call(sock)[0] == 200
+    harness.port.is_shut = True
     try:
-        status, headers, body = stage.call(sock)
+        status, headers, body = harness.call(sock)
         assert (status, b"leaving" in body) == (503, True)
         assert headers["connection"] == "close"
     finally:
-        stage.port.is_shut = False
+        harness.port.is_shut = False
--- a/tests/components/gateway/test_cold_instances.py
+++ b/tests/components/gateway/test_cold_instances.py
@@ -7,7 +7,12 @@
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.world.host import Bounds
 from lacewingdock.world.route import Repeat, ServiceLimits
-from tests.components.gateway.fakes import Stage, Upstream, answer, route
+from tests.components.gateway.fakes import (
+    GatewayHarness,
+    Upstream,
+    answer,
+    route,
+)
 
 # Three requests a second: a turn each 0.37 s.
 COLD = ServiceLimits("svc", cold_start_s=3.0, cold_per_s=3.0)
@@ -21,9 +26,9 @@
 }
 
 
-def stage_of(upstream, *, cold_s, has_share=True, goal_s=2.0, **changes):
+def cold_harness(upstream, *, cold_s, has_share=True, goal_s=2.0, **changes):
     """Return a gateway whose one instance is cold."""
-    found = Stage([route(goal_s=goal_s, **changes)], [upstream])
+    found = GatewayHarness([route(goal_s=goal_s, **changes)], [upstream])
     found.gateway.chooser.pacer = Pacer(
         "me",
         lambda: (),
@@ -39,15 +44,15 @@
 
 def test_request_waits_for_its_turn():
     upstream = Upstream()
-    stage = stage_of(upstream, cold_s=9.0)
+    harness = cold_harness(upstream, cold_s=9.0)
     try:
         start = time.monotonic()
-        assert stage.call()[0] == 200
+        assert harness.call()[0] == 200
         assert time.monotonic() - start < 0.3
-        assert stage.call()[0] == 200
+        assert harness.call()[0] == 200
         assert 0.3 <= time.monotonic() - start < 1.2
     finally:
-        stage.close()
+        harness.close()
         upstream.close()
 
 
@@ -68,17 +73,19 @@
     Cause: they were held until the instance was warm.
     """
     upstream = Upstream()
-    stage = stage_of(upstream, cold_s=3.0, goal_s=goal_s, has_share=has_share)
+    harness = cold_harness(
+        upstream, cold_s=3.0, goal_s=goal_s, has_share=has_share
+    )
     try:
         if has_share:
-            assert stage.call()[0] == 200
+            assert harness.call()[0] == 200
         start = time.monotonic()
-        status, headers, _ = stage.call()
+        status, headers, _ = harness.call()
         assert time.monotonic() - start < 0.2
         assert status == 503
         assert least_s <= float(headers["retry-after"]) <= most_s
     finally:
-        stage.close()
+        harness.close()
         upstream.close()
 
 
@@ -86,32 +93,32 @@
 def test_urgent_requests_wait_longer(priority, status):
     """Symptom: what is least urgent takes the few turns there are."""
     upstream = Upstream()
-    stage = stage_of(upstream, cold_s=9.0, priority=priority)
+    harness = cold_harness(upstream, cold_s=9.0, priority=priority)
     try:
-        assert stage.call()[0] == 200
-        assert stage.call()[0] == status
+        assert harness.call()[0] == 200
+        assert harness.call()[0] == status
     finally:
-        stage.close()
+        harness.close()
         upstream.close()
 
 
 def test_instance_that_leaves_meanwhile_gets_nothing():
     upstream, other = Upstream(), Upstream()
-    stage = stage_of(upstream, cold_s=9.0)
+    harness = cold_harness(upstream, cold_s=9.0)
     try:
-        assert stage.call()[0] == 200
-        stage.pool.submit(_leave, stage)
-        assert stage.call()[0] == 503
+        assert harness.call()[0] == 200
+        harness.pool.submit(_leave, harness)
+        assert harness.call()[0] == 503
         assert len(upstream.requests) == 1
     finally:
-        stage.close()
+        harness.close()
         upstream.close()
         other.close()
 
 
-def _leave(stage):
+def _leave(harness):
     time.sleep(0.1)
-    stage.directory.cordon(frozenset({"d1"}))
+    harness.directory.cordon(frozenset({"d1"}))
 
 
 def test_instance_that_took_no_connection_may_be_cold():
@@ -121,13 +128,13 @@
     """
     upstream = Upstream()
     upstream.close()
-    stage = stage_of(upstream, cold_s=0.0)
-    stage.directory.cold_start_s = lambda _: 3.0
+    harness = cold_harness(upstream, cold_s=0.0)
+    harness.directory.cold_start_s = lambda _: 3.0
     try:
-        assert stage.call()[0] == 503
-        assert stage.directory.instances["i-1"].is_cold(time.monotonic())
+        assert harness.call()[0] == 503
+        assert harness.directory.instances["i-1"].is_cold(time.monotonic())
     finally:
-        stage.close()
+        harness.close()
 
 
 def test_request_that_may_have_run_waits_for_as_long_as_it_can():
@@ -140,17 +147,17 @@
     unsure = answer(extra=b"Confidence: 5\r\n" + EVENTS)
 
     def turn_cold(*args):
-        stage.directory.instances["i-1"].is_cold_for(9.0)
+        harness.directory.instances["i-1"].is_cold_for(9.0)
         unsure(*args)
 
     upstream = Upstream(turn_cold, answer(b"id: 1\ndata: x\n\n", EVENTS))
-    stage = stage_of(upstream, cold_s=0.0, goal_s=0.1, **STREAM)
+    harness = cold_harness(upstream, cold_s=0.0, goal_s=0.1, **STREAM)
     try:
-        status, _, _ = stage.call(extra="Model: *\r\n")
+        status, _, _ = harness.call(extra="Model: *\r\n")
         assert status == 200
         assert len(upstream.requests) == 2
     finally:
-        stage.close()
+        harness.close()
         upstream.close()
 
 
@@ -161,10 +168,10 @@
     Cause: a smaller model was asked first, which takes a turn of its own.
     """
     upstream = Upstream(answer(b"id: 1\ndata: x\n\n", EVENTS))
-    stage = stage_of(upstream, cold_s=cold_s, **STREAM)
+    harness = cold_harness(upstream, cold_s=cold_s, **STREAM)
     try:
-        assert stage.call(extra="Model: *\r\n")[0] == 200
+        assert harness.call(extra="Model: *\r\n")[0] == 200
         assert f"model: {model}" in upstream.requests[0]
     finally:
-        stage.close()
+        harness.close()
         upstream.close()
--- a/tests/components/gateway/test_confidence_threshold.py
+++ b/tests/components/gateway/test_confidence_threshold.py
@@ -25,7 +25,7 @@
     pressure = Pressure()
     for _ in range(60):
         pressure.add(part)
-    assert low <= pressure.enough() / CONFIDENCE_ENOUGH <= high
+    assert low <= pressure.required_confidence() / CONFIDENCE_ENOUGH <= high
 
 
 def test_one_late_answer_does_not_speak_for_all(clock):
@@ -33,13 +33,13 @@
     for _ in range(60):
         pressure.add(0.1)
     pressure.add(9.0)
-    assert pressure.enough() > CONFIDENCE_ENOUGH / 2
+    assert pressure.required_confidence() > CONFIDENCE_ENOUGH / 2
 
 
 def test_larger_models_are_tried_again_after_a_burst(clock):
     pressure = Pressure()
     for _ in range(60):
         pressure.add(1.0)
-    assert pressure.enough() == 0.0
+    assert pressure.required_confidence() == 0.0
     clock(2 * HALF_LIFE_S)
-    assert pressure.enough() == CONFIDENCE_ENOUGH
+    assert pressure.required_confidence() == CONFIDENCE_ENOUGH
--- a/tests/components/gateway/test_replaced.py
+++ b/tests/components/gateway/test_replaced.py
@@ -4,7 +4,7 @@
 
 from lacewingdock.world.route import Repeat
 from tests.components.gateway.fakes import (
-    Stage,
+    GatewayHarness,
     Upstream,
     answer,
     ok,
@@ -31,18 +31,18 @@
     """
     dead = [Upstream(*[other_answers()] * 3) for _ in range(5)]
     alive = Upstream()
-    stage = Stage([route(repeat)], [*dead, alive])
+    harness = GatewayHarness([route(repeat)], [*dead, alive])
     # Busy, so that the dead ones come first.
-    stage.directory.instances["i-6"].running = 3
+    harness.directory.instances["i-6"].running = 3
     try:
         for number in range(3):
-            status, _, _ = stage.call(call_id=f"c-{number}")
+            status, _, _ = harness.call(call_id=f"c-{number}")
             assert status == 200
         assert sum(len(one.requests) for one in dead) == len(dead)
         assert len(alive.requests) == 3
-        assert stage.directory.replaced_seen == len(dead)
+        assert harness.directory.replaced_seen == len(dead)
     finally:
-        stage.close()
+        harness.close()
         for one in [*dead, alive]:
             one.close()
 
@@ -58,24 +58,24 @@
 )
 def test_instance_that_turns_a_request_away_itself_stays(step):
     upstream = Upstream(step)
-    stage = Stage([route()], [upstream])
+    harness = GatewayHarness([route()], [upstream])
     try:
-        stage.call()
-        assert stage.directory.replaced_seen == 0
-        assert stage.call()[0] == 200
+        harness.call()
+        assert harness.directory.replaced_seen == 0
+        assert harness.call()[0] == 200
     finally:
-        stage.close()
+        harness.close()
         upstream.close()
 
 
 def test_nothing_left_is_a_true_refusal():
     """The caller learns at once that it was not run, and when to come back."""
     upstream = Upstream(other_answers())
-    stage = Stage([route(Repeat.ONCE)], [upstream])
+    harness = GatewayHarness([route(Repeat.ONCE)], [upstream])
     try:
-        status, headers, _ = stage.call()
+        status, headers, _ = harness.call()
         assert status == 503
         assert float(headers["retry-after"]) > 0
     finally:
-        stage.close()
+        harness.close()
         upstream.close()
--- a/tests/components/gateway/test_resting_instances.py
+++ b/tests/components/gateway/test_resting_instances.py
@@ -14,7 +14,11 @@
     send,
     stream_head,
 )
-from tests.components.gateway.scripted import STREAM, Counting, streamed
+from tests.components.gateway.scripted import (
+    STREAM,
+    RepeatingUpstream,
+    streamed,
+)
 
 BUSY = b"503 Busy"
 REST = b"Retry-After: 3\r\n"
@@ -32,54 +36,56 @@
         (answer(extra=REST + NOT_RUN, status=BUSY), STREAM),
     ],
 )
-def test_router_leaves_an_instance_its_rest(stages, step, changes):
+def test_router_leaves_an_instance_its_rest(build_one_route, step, changes):
     """Guards against: an instance that turns all away gets them all the same.
 
     Symptom: eight requests in the 3 s that an instance had asked for; two may
     come. Sequence: it refuses at once, so it has nothing to do, and looks
     idle. Cause: the time that it asked for was not read.
     """
-    other = Counting(step=streamed() if changes == STREAM else None)
-    resting = Counting(step=step)
-    stage = stages(resting, other, **changes)
+    other = RepeatingUpstream(step=streamed() if changes == STREAM else None)
+    resting = RepeatingUpstream(step=step)
+    harness = build_one_route(resting, other, **changes)
     # It is what looks idle.
-    stage.directory.instances["i-2"].running = 50
+    harness.directory.instances["i-2"].running = 50
     extra = "Model: *\r\n" if changes == STREAM else ""
-    stage.call(extra=extra)
+    harness.call(extra=extra)
     assert len(resting.times) == 1
-    found = [stage.call(call_id=f"c-{n}", extra=extra)[0] for n in range(10)]
+    found = [harness.call(call_id=f"c-{n}", extra=extra)[0] for n in range(10)]
     assert found == [200] * 10
     assert len(resting.times) == 1
 
 
-def test_rest_is_over_after_its_time(stages):
+def test_rest_is_over_after_its_time(build_one_route):
     """Guards against: an instance that is shunned for good."""
-    resting = Counting(step=answer(extra=SHORT + NOT_RUN, status=BUSY))
-    stage = stages(resting, goal_s=1.0, max_attempts=1, priority=0)
-    assert stage.call()[0] == 503
+    resting = RepeatingUpstream(step=answer(extra=SHORT + NOT_RUN, status=BUSY))
+    harness = build_one_route(resting, goal_s=1.0, max_attempts=1, priority=0)
+    assert harness.call()[0] == 503
     resting.step = answer()
     # It waits for the end of the rest, which is near.
-    assert stage.call()[0] == 200
+    assert harness.call()[0] == 200
     assert resting.times[-1] - resting.times[0] >= 0.3
     start = time.monotonic()
     for number in range(10):
-        assert stage.call(call_id=f"c-{number}")[0] == 200
+        assert harness.call(call_id=f"c-{number}")[0] == 200
     assert time.monotonic() - start < 0.5
 
 
-def test_where_all_rest_a_request_is_refused_at_once(stages):
+def test_where_all_rest_a_request_is_refused_at_once(build_one_route):
     """Guards against: callers wait, or come back, while all instances rest.
 
     Who can't be served within the goal is told at once that it has not run,
     and when the first instance wants requests again; all at different times.
     """
     upstreams = [
-        Counting(step=answer(extra=REST + NOT_RUN, status=BUSY)),
-        Counting(step=answer(extra=b"Retry-After: 5\r\n", status=BUSY)),
+        RepeatingUpstream(step=answer(extra=REST + NOT_RUN, status=BUSY)),
+        RepeatingUpstream(
+            step=answer(extra=b"Retry-After: 5\r\n", status=BUSY)
+        ),
     ]
-    stage = stages(*upstreams, goal_s=0.4, max_attempts=2)
+    harness = build_one_route(*upstreams, goal_s=0.4, max_attempts=2)
     start = time.monotonic()
-    found = [stage.call(call_id=f"c-{number}") for number in range(8)]
+    found = [harness.call(call_id=f"c-{number}") for number in range(8)]
     assert time.monotonic() - start < 1.0
     assert [len(one.times) for one in upstreams] == [1, 1]
     told = [float(headers["retry-after"]) for _, headers, _ in found[1:]]
@@ -88,44 +94,46 @@
     assert len(set(told)) > 1
 
 
-def test_last_refusal_tells_when_the_first_instance_is_back(stages):
+def test_last_refusal_tells_when_the_first_instance_is_back(build_one_route):
     """Guards against: a caller that is sent back into the rest of all."""
-    resting = Counting(step=answer(extra=REST + NOT_RUN, status=BUSY))
-    stage = stages(resting, max_attempts=1)
-    status, headers, _ = stage.call()
+    resting = RepeatingUpstream(step=answer(extra=REST + NOT_RUN, status=BUSY))
+    harness = build_one_route(resting, max_attempts=1)
+    status, headers, _ = harness.call()
     assert status == 503
     assert 2.0 <= float(headers["retry-after"]) <= 3.0 * 1.25 * 1.5
 
 
-def test_request_that_may_have_run_waits_for_the_end_of_a_rest(stages):
+def test_request_that_may_have_run_waits_for_the_end_of_a_rest(build_one_route):
     """Guards against: a 502 where there was time for another attempt."""
-    broken, resting = Upstream(), Counting()
-    stage = stages(broken, resting, timeout_s=3.0)
+    broken, resting = Upstream(), RepeatingUpstream()
+    harness = build_one_route(broken, resting, timeout_s=3.0)
 
     def leave(*_):
         """The first instance ends the connection, and leaves."""
-        signals = stage.directory.instances["i-1"].signals
+        signals = harness.directory.instances["i-1"].signals
         signals.leaving_since = time.monotonic()
         return False
 
     broken.steps.append(leave)
     busy = AnswerHead(503, [], not_run=True, rest_s=0.5)
-    stage.gateway.answered(stage.directory.instances["i-2"], busy, 0.0)
-    assert stage.call(deadline_ms=3000)[0] == 200
+    harness.gateway.record_head(harness.directory.instances["i-2"], busy, 0.0)
+    assert harness.call(deadline_ms=3000)[0] == 200
     assert len(resting.times) == 1
 
 
-def test_session_and_stream_that_go_on_leave_it_its_rest(stages):
+def test_session_and_stream_that_go_on_leave_it_its_rest(build_one_route):
     """Guards against: a resumed stream that goes where all are turned away."""
     broken = Upstream(send(stream_head, event(1)))
-    resting = Counting(step=streamed())
-    other = Counting(step=send(stream_head, event(2), END, then="keep"))
-    stage = stages(broken, resting, other, **STREAM)
-    stage.directory.instances["i-2"].running = 40
-    stage.directory.instances["i-3"].running = 50
+    resting = RepeatingUpstream(step=streamed())
+    other = RepeatingUpstream(
+        step=send(stream_head, event(2), END, then="keep")
+    )
+    harness = build_one_route(broken, resting, other, **STREAM)
+    harness.directory.instances["i-2"].running = 40
+    harness.directory.instances["i-3"].running = 50
     busy = AnswerHead(503, [], not_run=True, rest_s=9.0)
-    stage.gateway.answered(stage.directory.instances["i-2"], busy, 0.0)
-    status, _, body = stage.call(extra="Model: *\r\n")
+    harness.gateway.record_head(harness.directory.instances["i-2"], busy, 0.0)
+    status, _, body = harness.call(extra="Model: *\r\n")
     assert (status, body) == (200, b"id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n")
     assert resting.times == []
 
@@ -133,12 +141,12 @@
 @pytest.mark.parametrize(
     "value", [b"", b"-3", b"1e308", b"soon", b"0", b"9" * 40]
 )
-def test_odd_rest_is_no_rest(stages, value):
+def test_odd_rest_is_no_rest(build_one_route, value):
     """Guards against: an instance that rests for ever, or a fault."""
-    odd = Counting(
+    odd = RepeatingUpstream(
         step=answer(extra=b"Retry-After: " + value + b"\r\n", status=BUSY)
     )
-    stage = stages(odd)
-    stage.call()
+    harness = build_one_route(odd)
+    harness.call()
     odd.step = answer()
-    assert stage.call()[0] == 200
+    assert harness.call()[0] == 200
--- a/tests/components/gateway/test_slowdown.py
+++ b/tests/components/gateway/test_slowdown.py
@@ -69,12 +69,12 @@
     """
     pressure = Pressure()
     pressure.slowdown = at_rest(clock)
-    assert pressure.enough() == CONFIDENCE_ENOUGH
+    assert pressure.required_confidence() == CONFIDENCE_ENOUGH
     flow(pressure.slowdown, clock, REST_S * 10, 1.5)
     pressure.add(0.1)
-    assert pressure.enough() < CONFIDENCE_ENOUGH / 3
+    assert pressure.required_confidence() < CONFIDENCE_ENOUGH / 3
     flow(pressure.slowdown, clock, REST_S, 3.0)
-    assert pressure.enough() == CONFIDENCE_ENOUGH
+    assert pressure.required_confidence() == CONFIDENCE_ENOUGH
 
 
 @pytest.mark.parametrize(
@@ -90,5 +90,9 @@
     """
     pressure = Pressure()
     flow(pressure.slowdown, clock, part, 40 * part)
-    assert low <= pressure.enough(gap_s=1.0) / CONFIDENCE_ENOUGH <= high
-    assert pressure.enough() == CONFIDENCE_ENOUGH
+    assert (
+        low
+        <= pressure.required_confidence(gap_s=1.0) / CONFIDENCE_ENOUGH
+        <= high
+    )
+    assert pressure.required_confidence() == CONFIDENCE_ENOUGH
--- a/tests/components/gateway/test_streams.py
+++ b/tests/components/gateway/test_streams.py
@@ -29,9 +29,9 @@
     return route(repeat, streaming=True, gap_s=0.1, **changes)
 
 
-def add(stage, upstream, name="i-2"):
+def add(harness, upstream, name="i-2"):
     """Add an instance that is asked after the first."""
-    stage.directory.take(upstream.entry(name, failure_domain="d2"))
+    harness.directory.take(upstream.entry(name, failure_domain="d2"))
 
 
 # How the first instance's stream ends after its first event.
@@ -48,54 +48,58 @@
 
 
 @pytest.mark.parametrize("cut", CUTS)
-def test_stream_goes_on_at_another_instance(staged, cut):
+def test_stream_goes_on_at_another_instance(build_harness, cut):
     """Symptom: a draft stops in the middle, or an event comes twice.
 
     The instance crashes, falls silent or sends wrong bytes after some events.
     Cause: the rest was not asked for elsewhere from the last whole event on.
     """
     first, second = Upstream(CUTS[cut]), Upstream(stream(2, 3))
-    stage = staged([streaming()], [first, second])
-    add(stage, second)
-    status, headers, body = stage.call(deadline_ms=3000)
+    harness = build_harness([streaming()], [first, second])
+    add(harness, second)
+    status, headers, body = harness.call(deadline_ms=3000)
     assert (status, body) == (200, WHOLE)
     assert headers["response-seal"] == "s"
     assert "last-event-id: 1" in second.requests[0]
 
 
 @pytest.mark.parametrize("cut", CUTS)
-def test_stream_that_may_run_once_is_visibly_not_whole(staged, cut):
+def test_stream_that_may_run_once_is_visibly_not_whole(build_harness, cut):
     first, second = Upstream(CUTS[cut]), Upstream(stream(2, 3))
-    stage = staged([streaming(Repeat.ONCE, timeout_s=0.6)], [first, second])
-    add(stage, second)
+    harness = build_harness(
+        [streaming(Repeat.ONCE, timeout_s=0.6)], [first, second]
+    )
+    add(harness, second)
     with pytest.raises((EOFError, ConnectionError)):
-        stage.call()
+        harness.call()
     assert second.requests == []
 
 
-def test_stream_refused_elsewhere_is_visibly_not_whole(staged):
+def test_stream_refused_elsewhere_is_visibly_not_whole(build_harness):
     first = Upstream(CUTS["closed"])
     second = Upstream(answer(b"why", status=b"500 Oops"))
-    stage = staged([streaming(max_attempts=2)], [first, second])
-    add(stage, second)
+    harness = build_harness([streaming(max_attempts=2)], [first, second])
+    add(harness, second)
     with pytest.raises((EOFError, ConnectionError)):
-        stage.call()
+        harness.call()
 
 
 @pytest.mark.parametrize(
     ("confidence", "asked"), [(b"30", 2), (b"90", 1), (b"odd", 1)]
 )
 def test_larger_model_answers_where_the_smaller_is_unsure(
-    staged, confidence, asked
+    build_harness, confidence, asked
 ):
     head = b"Confidence: " + confidence + b"\r\n"
     first = Upstream(stream(1, then="silent", end=b"", extra=head))
     if asked == 1:
         first = Upstream(stream(1, 2, 3, extra=head))
     second = Upstream(stream(1, 2, 3))
-    stage = staged([streaming(models=("s", "m", "l"))], [first, second])
-    add(stage, second)
-    status, _, body = stage.call(extra="Model: *\r\n", deadline_ms=3000)
+    harness = build_harness(
+        [streaming(models=("s", "m", "l"))], [first, second]
+    )
+    add(harness, second)
+    status, _, body = harness.call(extra="Model: *\r\n", deadline_ms=3000)
     assert (status, body) == (200, WHOLE)
     requests = first.requests + second.requests
     assert [
@@ -106,7 +110,7 @@
     ] == ["model: s", "model: l"][:asked]
 
 
-def test_larger_model_is_no_attempt_too_many(staged):
+def test_larger_model_is_no_attempt_too_many(build_harness):
     """Symptom: a request runs on four instances where three are allowed.
 
     Two attempts fail and the third's answer is unsure. Cause: asking a larger
@@ -117,60 +121,60 @@
     unsure = Upstream(stream(1, 2, 3, extra=head))
     spare = Upstream(stream(1, 2, 3))
     upstreams = [*fails, unsure, spare]
-    stage = staged([streaming(models=("s", "l"))], upstreams)
+    harness = build_harness([streaming(models=("s", "l"))], upstreams)
     for number, domain in enumerate(("d1", "d2", "d3", "d4")):
         entry = upstreams[number].entry(
             f"i-{number + 1}", failure_domain=domain
         )
-        stage.directory.take(entry)
-        stage.directory.instances[entry.id].running = number * 3
-    assert stage.call(extra="Model: *\r\n", deadline_ms=3000)[2] == WHOLE
+        harness.directory.take(entry)
+        harness.directory.instances[entry.id].running = number * 3
+    assert harness.call(extra="Model: *\r\n", deadline_ms=3000)[2] == WHOLE
     assert [len(one.requests) for one in upstreams] == [1, 1, 1, 0]
 
 
-def test_caller_who_left_ends_the_run(staged):
+def test_caller_who_left_ends_the_run(build_harness):
     """Symptom: an instance works on for callers who are gone.
 
     Cause: while the instance is awaited nobody looks at the caller's socket.
     """
     upstream = Upstream(send(then="silent"))
-    stage = staged([streaming(timeout_s=5.0, goal_s=5.0)], [upstream])
-    sock = stage.connect()
+    harness = build_harness([streaming(timeout_s=5.0, goal_s=5.0)], [upstream])
+    sock = harness.connect()
     sock.sendall(request(deadline_ms=5000))
     _wait(lambda: upstream.requests)
     sock.close()
-    _wait(lambda: not stage.directory.instances["i-1"].running)
+    _wait(lambda: not harness.directory.instances["i-1"].running)
     assert len(upstream.requests) == 1
 
 
-def test_next_request_on_the_connection_is_no_leaving(staged):
+def test_next_request_on_the_connection_is_no_leaving(build_harness):
     upstream = Upstream(
         send(lambda i: stream_head(i), event(1), then="keep"), answer()
     )
     upstream.steps[0] = _late_stream
-    stage = staged([streaming(timeout_s=5.0)], [upstream])
-    sock = stage.connect()
+    harness = build_harness([streaming(timeout_s=5.0)], [upstream])
+    sock = harness.connect()
     sock.sendall(request("c-1") + request("c-2"))
     assert read_answer(sock)[2] == b"id: 1\ndata: e1\n\n"
 
 
-def test_unsure_answer_is_taken_where_no_retry_is_left(staged):
+def test_unsure_answer_is_taken_where_no_retry_is_left(build_harness):
     head = b"Confidence: 10\r\n"
     upstream = Upstream(stream(1, 2, 3, extra=head))
-    stage = staged([streaming(models=("s", "l"))], [upstream])
-    stage.gateway.budget("svc").saved = 3.0
-    stage.gateway.budget("svc").share = 0.0
-    stage.gateway.pressure("svc").mean = 5.0
-    assert stage.call(extra="Model: *\r\n")[2] == WHOLE
+    harness = build_harness([streaming(models=("s", "l"))], [upstream])
+    harness.gateway.budget("svc").saved = 3.0
+    harness.gateway.budget("svc").share = 0.0
+    harness.gateway.pressure("svc").mean = 5.0
+    assert harness.call(extra="Model: *\r\n")[2] == WHOLE
 
 
-def test_refusals_take_from_the_budget(staged):
+def test_refusals_take_from_the_budget(build_harness):
     upstreams = [Upstream(refuse(), refuse()), Upstream(refuse())]
-    stage = staged([route(max_attempts=9)], upstreams)
-    add(stage, upstreams[1])
-    budget = stage.gateway.budget("svc")
+    harness = build_harness([route(max_attempts=9)], upstreams)
+    add(harness, upstreams[1])
+    budget = harness.gateway.budget("svc")
     budget.share, budget.saved = 0.0, 2.0
-    status, headers, _ = stage.call()
+    status, headers, _ = harness.call()
     assert status == 503 and "retry-after" in headers
     assert sum(len(u.requests) for u in upstreams) == 3
 
--- a/tests/components/gateway/test_suspects.py
+++ b/tests/components/gateway/test_suspects.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("repeat", [Repeat.IDEMPOTENT, Repeat.ONCE])
-def test_request_that_crashes_what_runs_it_is_held_back(staged, repeat):
+def test_request_that_crashes_what_runs_it_is_held_back(build_harness, repeat):
     """Symptom: one request, sent again and again, takes down all instances.
 
     Sequence: it is lost at an instance; it is repeated by the router where it
@@ -48,10 +48,10 @@
     nothing was remembered of it.
     """
     upstreams = crashing(6)
-    stage = staged([route(repeat, max_attempts=2)], upstreams)
+    harness = build_harness([route(repeat, max_attempts=2)], upstreams)
     statuses = []
     for number in range(8):
-        status, headers, _ = stage.call(call_id=f"c-{number}", body=b"bad")
+        status, headers, _ = harness.call(call_id=f"c-{number}", body=b"bad")
         statuses.append(status)
     assert sum(not one.steps for one in upstreams) == 3
     assert statuses[-1] == 429
@@ -74,7 +74,7 @@
     return step
 
 
-def test_next_start_at_the_address_is_no_sign_of_life(staged):
+def test_next_start_at_the_address_is_no_sign_of_life(build_harness):
     """Guards against a crash that counts as a broken connection for good.
 
     Symptom: one request ends engine after engine. Sequence: its engine ends;
@@ -84,11 +84,11 @@
     upstreams = [Upstream() for _ in range(6)]
     for upstream in upstreams:
         upstream.steps = [replaced(upstream)]
-    stage = staged([route(Repeat.ONCE)], upstreams)
+    harness = build_harness([route(Repeat.ONCE)], upstreams)
     for number in range(8):
-        stage.call(call_id=f"c-{number}", body=b"bad")
+        harness.call(call_id=f"c-{number}", body=b"bad")
     assert sum(not one.steps for one in upstreams) == 3
-    assert stage.directory.replaced_seen == 3
+    assert harness.directory.replaced_seen == 3
 
 
 def in_part(upstream, *parts, ends):
@@ -109,7 +109,7 @@
     ("ends", "held"), [(True, True), (False, False)], ids=["ends", "lives"]
 )
 def test_streams_that_broke_in_part_count_where_the_instance_ended(
-    staged, ends, held
+    build_harness, ends, held
 ):
     """Guards against a crash after the first event that leaves no trace.
 
@@ -121,15 +121,15 @@
         first = (stream_head, event(1))
         broken = in_part(upstream, *first, ends=ends)
         upstream.steps = [broken, *[whole] * 4]
-    stage = staged([route(Repeat.ONCE, streaming=True)], upstreams)
+    harness = build_harness([route(Repeat.ONCE, streaming=True)], upstreams)
     for number in range(len(upstreams)):
-        for other in stage.directory.instances.values():
+        for other in harness.directory.instances.values():
             other.superseded = other.entry.id != f"i-{number + 1}"
         with pytest.raises(EOFError):
-            stage.call(call_id=f"c-{number}", body=b"bad")
-    for other in stage.directory.instances.values():
+            harness.call(call_id=f"c-{number}", body=b"bad")
+    for other in harness.directory.instances.values():
         other.superseded = False
-    assert (stage.call(call_id="c-9", body=b"bad")[0] == 429) is held
+    assert (harness.call(call_id="c-9", body=b"bad")[0] == 429) is held
 
 
 @pytest.mark.parametrize(
@@ -143,7 +143,7 @@
     ],
     ids=["a failure", "an unsure head"],
 )
-def test_what_shows_no_whole_run_clears_nothing(staged, between):
+def test_what_shows_no_whole_run_clears_nothing(build_harness, between):
     """Guards against a crashing request that is forgotten between two crashes.
 
     Symptom: it ends engine after engine. Sequence: an engine that fails some
@@ -153,26 +153,26 @@
     upstreams = crashing(5)
     models = ("small", "large")
     changes = {"streaming": True, "models": models, "max_attempts": 3}
-    stage = staged([route(Repeat.RESUMABLE, **changes)], upstreams)
-    suspects, extra = stage.suspects, "Model: *\r\n"
+    harness = build_harness([route(Repeat.RESUMABLE, **changes)], upstreams)
+    suspects, extra = harness.suspects, "Model: *\r\n"
     for number, upstream in enumerate(upstreams[:3]):
         if number == 2:
             upstream.steps.insert(0, between)
-        for other in stage.directory.instances.values():
+        for other in harness.directory.instances.values():
             other.superseded = other.entry.id != f"i-{number + 1}"
         while upstream.steps:
-            stage.call(call_id=f"c-{number}", body=b"bad", extra=extra)
+            harness.call(call_id=f"c-{number}", body=b"bad", extra=extra)
     assert suspects.held() == 1
 
 
-def told(stage, body):
+def told(harness, body):
     """Have another router tell of three crashes of a request."""
     names = [f"gone-{number}" for number in range(3)]
     request = Call("x", b"POST", b"/r/x?q=1", "h.example", "/r/x", body=body)
-    stage.suspects.hear("r-2", {fingerprint_of(request, "w-1"): names})
+    harness.suspects.hear("r-2", {fingerprint_of(request, "w-1"): names})
 
 
-class LatePool(ConnectionPool):
+class InterceptedPool(ConnectionPool):
     """Something comes to be known while a connection is opened."""
 
     __slots__ = ("meanwhile",)
@@ -182,60 +182,60 @@
         return super().take(entry, timeout_s)
 
 
-def test_request_that_waits_as_the_evidence_comes_is_not_sent(staged):
+def test_request_that_waits_as_the_evidence_comes_is_not_sent(build_harness):
     """Guards against copies under way that go on to fresh engines.
 
     Sequence: a copy is admitted and waits for a connection; other routers tell
     of its crashes. Cause: it was asked once, when it came.
     """
     upstream = Upstream()
-    stage = staged([route()], [upstream])
-    stage.gateway.pool = LatePool()
-    stage.gateway.pool.meanwhile = lambda: told(stage, b"bad")
-    assert stage.call(body=b"bad")[0] == 429
+    harness = build_harness([route()], [upstream])
+    harness.gateway.pool = InterceptedPool()
+    harness.gateway.pool.meanwhile = lambda: told(harness, b"bad")
+    assert harness.call(body=b"bad")[0] == 429
     assert upstream.requests == []
-    assert stage.call(body=b"good")[0] == 200
+    assert harness.call(body=b"good")[0] == 200
 
 
-def test_request_is_not_repeated_once_the_evidence_is_there(staged):
+def test_request_is_not_repeated_once_the_evidence_is_there(build_harness):
     """Guards against a repeat, as above; what the first said is passed on."""
     upstreams = [Upstream(), Upstream()]
-    stage = staged([route()], upstreams)
+    harness = build_harness([route()], upstreams)
 
     def fails(sock, call_id, _):
-        told(stage, b"bad")
+        told(harness, b"bad")
         sock.sendall(ok(call_id, b"failed", b"", b"500 Error"))
 
     for upstream in upstreams:
         upstream.steps = [fails]
-    assert stage.call(body=b"bad")[0] == 500
+    assert harness.call(body=b"bad")[0] == 500
     assert sum(len(one.requests) for one in upstreams) == 1
 
 
-def test_answer_of_the_next_start_is_no_sign_of_life(staged):
+def test_answer_of_the_next_start_is_no_sign_of_life(build_harness):
     """Guards against the next start's answers keeping its dead one alive."""
     other = b"Not-Executed: 1\r\nInstance-Id: next\r\n"
     upstream = Upstream(answer(b"", other, b"421 Misdirected"))
-    stage = staged([route(Repeat.ONCE)], [upstream])
-    instance = stage.directory.instances["i-1"]
-    assert stage.call(body=b"any")[0] == 503
+    harness = build_harness([route(Repeat.ONCE)], [upstream])
+    instance = harness.directory.instances["i-1"]
+    assert harness.call(body=b"any")[0] == 503
     assert instance.heard_at == 0.0
     assert instance.answered_at < 0.0
 
 
-def test_others_go_on(staged):
+def test_others_go_on(build_harness):
     upstreams = [*crashing(3), Upstream()]
-    stage = staged([route(max_attempts=2)], upstreams)
+    harness = build_harness([route(max_attempts=2)], upstreams)
     for number in range(4):
-        stage.call(call_id=f"c-{number}", body=b"bad")
+        harness.call(call_id=f"c-{number}", body=b"bad")
     for number in range(6):
         call_id, body = f"d-{number}", b"good %d" % number
-        status, _, _ = stage.call(call_id=call_id, body=body)
+        status, _, _ = harness.call(call_id=call_id, body=body)
         assert status == 200
 
 
 @pytest.mark.parametrize(
-    "fate",
+    "response",
     [
         send(b"garbage\r\n\r\n", then="close"),
         send(lambda i: answer_without_seal(i), then="keep"),
@@ -244,12 +244,17 @@
     ],
     ids=["no http", "no seal", "silent", "stream without an event"],
 )
-def test_bad_answers_are_no_crashes(staged, fate):
-    upstreams = [Upstream(fate), Upstream(fate), Upstream(fate), Upstream()]
-    stage = staged([route(max_attempts=3, timeout_s=0.6)], upstreams)
+def test_bad_answers_are_no_crashes(build_harness, response):
+    upstreams = [
+        Upstream(response),
+        Upstream(response),
+        Upstream(response),
+        Upstream(),
+    ]
+    harness = build_harness([route(max_attempts=3, timeout_s=0.6)], upstreams)
     for number in range(3):
-        stage.call(call_id=f"c-{number}")
-    assert stage.suspects.suspects == {}
+        harness.call(call_id=f"c-{number}")
+    assert harness.suspects.suspects == {}
 
 
 def answer_without_seal(call_id):
@@ -258,12 +263,12 @@
     return head + b"\r\nContent-Length: 2\r\n\r\nok"
 
 
-def test_an_answer_between_clears(staged):
+def test_an_answer_between_clears(build_harness):
     upstreams = crashing(3)
     upstreams[1].steps = [answer()]
-    stage = staged([route(Repeat.ONCE)], upstreams)
+    harness = build_harness([route(Repeat.ONCE)], upstreams)
     statuses = [
-        stage.call(call_id=f"c-{number}", body=b"common")[0]
+        harness.call(call_id=f"c-{number}", body=b"common")[0]
         for number in range(6)
     ]
     assert 429 not in statuses
