--- a/lacewingdock/components/gateway/__init__.py
+++ b/lacewingdock/components/gateway/__init__.py
@@ -1,8 +1,8 @@
 """Support for the callers' port: direct calls to upstream instances.
 
-A request is read whole, its route and workspace are found, and it is sent to
-an upstream instance over a kept connection. Nothing about it is shared with
-other instances of the router.
+A request is read completely, its route and workspace are looked up, and it is
+sent to an upstream instance over a pooled connection. Its state is not shared
+with other instances of the router.
 """
 
 import socket
@@ -21,23 +21,23 @@
 from lacewingdock.platform.wire import read_call
 from lacewingdock.world.route import CallerLimits
 
-# Connections served at once, of the descriptors that the platform gives: each
-# may hold one to an upstream besides, and files and the store need some.
+# Share of the process's file descriptors for callers' connections. Each of them
+# may also need a connection to an upstream, and files and the store need some.
 CONNECTIONS_SHARE: Final = 0.35
-# Each connection is served by a thread, of which the processor can switch
-# between so many at most while answers stay in time.
+# Upper bound of callers' connections. Each connection has its own thread; with
+# more threads than this, context switches make answers late.
 MAX_CONNECTIONS: Final = 1500
 
 
 class CallersPort:
-    """The callers' port.
+    """The port on which callers connect, with a thread for each connection.
 
     Attributes:
-        gateway: What its requests need.
+        gateway: The state that all requests share.
         listener: Accepts the connections.
-        active: Requests that were read and not yet answered.
+        active: Number of requests that were read and not yet answered.
         leaving: Set once the daemon is to stop.
-        is_shut: Whether nothing new is taken any more.
+        is_shut: Whether new connections and requests are refused.
     """
 
     __slots__ = ("active", "gateway", "is_shut", "leaving", "listener")
@@ -50,7 +50,7 @@
         leaving: threading.Event,
         sock: socket.socket | None = None,
     ) -> None:
-        """Bind the port unless it is open already; `listener.run` serves it.
+        """Bind the port unless `sock` is given; `listener.run` serves it.
 
         Raises:
             LacewingdockError: PORT_TAKEN or BAD_SETTING.
@@ -65,15 +65,15 @@
     def shut(self) -> None:
         """Accept no more connections, and refuse requests on open ones.
 
-        A caller whose connection is refused, or whose request was refused as
-        not run, goes to another instance at once. Taken later, a request
-        could not end before the process does.
+        A caller whose connection is refused, or whose request is refused as
+        not run, retries at another router at once. A request accepted any
+        later might not be answered before the process exits.
         """
         self.is_shut = True
         self.listener.close()
 
     def serve(self, sock: socket.socket) -> None:
-        """Serve one connection until one side ends it."""
+        """Serve one connection until either side closes it."""
         connection = ServerConnection(sock)
         try:
             while self._serve_one(connection):
@@ -81,13 +81,13 @@
         except CallerGone:
             pass
         if connection.started and not connection.complete:
-            # What was sent of the answer must not look whole.
+            # A reset shows the caller that the answer is incomplete.
             connection.abort()
         else:
             connection.close()
 
     def _serve_one(self, connection: ServerConnection) -> bool:
-        """Serve one request; return whether another may follow."""
+        """Serve one request; return whether the connection can be reused."""
         table = self.gateway.routes.table
         limits = table.limits if table else CallerLimits()
         try:
--- a/lacewingdock/components/gateway/attempt.py
+++ b/lacewingdock/components/gateway/attempt.py
@@ -19,10 +19,10 @@
 from lacewingdock.platform.wire import upstream_headers
 from lacewingdock.world.call import AnswerHead, Call, Sending
 
-# Longest body of an answer that is not a stream.
+# Longest body of an answer that is not a stream, in bytes.
 MAX_BODY_BYTES: Final = 16 * 1024 * 1024
 
-# From this status on an upstream says that it failed.
+# Lowest status with which an upstream reports its own failure.
 SERVER_ERROR: Final = 500
 
 T = TypeVar("T")
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Whole:
-    """The upstream answered, and the answer is here."""
+    """The upstream's complete answer was received."""
 
     head: AnswerHead
     body: bytes
@@ -38,20 +38,21 @@
 
 @dataclass(slots=True)
 class Streamed:
-    """The stream was passed on to its end."""
+    """The stream was passed on to the caller completely."""
 
 
 @dataclass(slots=True)
 class NotRun:
-    """The request did not run there and never will.
+    """The request did not run at the instance, and will not run there.
 
     Attributes:
-        detail: Why.
-        reached: Whether it reached an upstream, which refused it.
-        replaced_by: Id of another instance, which answered at the address;
+        detail: The reason.
+        reached: Whether the request reached an upstream, which refused it.
+        replaced_by: Id of another instance that answered at the address;
             empty where none did.
-        withheld: Whether it was not sent, since the instance wanted no more
-            by then, or it was found to crash what runs it.
+        withheld: Whether the request was not sent, since the instance stopped
+            accepting requests or the request was found to be a poison request
+            while the connection was opened.
     """
 
     detail: str
@@ -62,12 +63,12 @@
 
 @dataclass(slots=True)
 class Broken:
-    """There is no usable answer; whether the request ran is unknown.
+    """There is no usable answer, and the request may have run.
 
     Attributes:
-        detail: Why.
-        timed_out: Whether the upstream was silent for too long.
-        ended: Whether it closed or reset the connection.
+        detail: The reason.
+        timed_out: Whether a read timeout expired.
+        ended: Whether the upstream closed or reset the connection.
     """
 
     detail: str
@@ -77,7 +78,7 @@
 
 @dataclass(slots=True)
 class Unsure:
-    """The model is unsure of its answer, and none of it was passed on."""
+    """The answer's confidence is too low; nothing of it was passed on."""
 
     confidence: float
 
@@ -86,7 +87,7 @@
 
 
 def is_failure(result: Result) -> bool:
-    """Whether an attempt gave no answer, or the upstream's own failure."""
+    """Return whether an attempt has no answer, or an upstream's error."""
     match result:
         case Whole(head, _):
             return head.status >= SERVER_ERROR
@@ -97,15 +98,15 @@
 
 @dataclass(slots=True)
 class Progress:
-    """How far a stream got towards the caller, over all attempts.
+    """How much of a stream was sent to the caller, over all attempts.
 
     Attributes:
-        started: Whether the head went out.
-        last_event: Id of the last event passed on.
-        events: Events passed on.
-        first_at: Monotonic time of the first one.
-        last_at: Monotonic time of the last one.
-        longest_pause_s: Seconds of the longest pause between two.
+        started: Whether the head was sent to the caller.
+        last_event: Id of the last event sent.
+        events: Number of events sent.
+        first_at: Monotonic time at which the first events were sent.
+        last_at: Monotonic time at which the last events were sent.
+        longest_pause_s: Longest pause between two sends, in seconds.
     """
 
     started: bool = False
@@ -116,7 +117,7 @@
     longest_pause_s: float = 0.0
 
     def record_events(self, events: list[Event]) -> None:
-        """Note events that go to the caller now."""
+        """Record events that are about to be sent to the caller."""
         now = time.monotonic()
         if self.started:
             pause_s = now - self.last_at
@@ -130,24 +131,25 @@
 
 
 class Attempt:
-    """One attempt.
+    """One attempt of a request at one upstream instance.
 
     Attributes:
-        pool: Connections to upstreams.
-        instance: Where it goes.
+        pool: Connections to upstream instances.
+        instance: The instance that the request is sent to.
         call: The request.
         caller: The caller's connection.
-        patience: How long it waits.
-        progress: How far the stream got.
-        streaming: Whether a success is passed on event by event.
-        is_withheld: Asked before the request is written: whether it is not to
-            be sent there any more.
-        accepts: Whether a stream's head shows an answer that is good enough.
-        on_head: Called with each head that was read.
+        timeouts: Read timeouts, and the deadline of the request.
+        progress: How much of the stream was sent to the caller.
+        streaming: Whether a successful answer is passed on event by event.
+        is_withheld: Called before the request is sent; returns whether the
+            request must not be sent to the instance any more.
+        accepts: Called with the head of a successful answer; returns whether
+            the answer's confidence is high enough.
+        on_head: Called with the head of the answer.
         on_began: Called once, when the answer begins or the attempt ends.
-        on_pause: Called with the seconds between two events.
-        has_begun: Whether it was called.
-        head: Head of the answer; None while there is none.
+        on_pause: Called with the seconds between two reads of a stream.
+        has_begun: Whether `on_began` was called.
+        head: Head of the answer; None until it is read.
         began_at: Monotonic time at which the answer began; 0 if it did not.
     """
 
@@ -184,7 +186,7 @@
         on_began: Callable[[], None],
         on_pause: Callable[[float], None],
     ) -> None:
-        """Take what it needs; `run` makes it."""
+        """Create the attempt; `run` makes it."""
         self.pool = pool
         self.instance = instance
         self.call = call
@@ -205,15 +207,16 @@
         """Make the attempt.
 
         Raises:
-            CallerLeft: The caller closed its connection.
-            CallerGone: Nothing can be sent to the caller any more.
+            CallerLeft: The caller closed its connection while the answer was
+                awaited.
+            CallerGone: Sending to the caller failed.
         """
         try:
             connection = self.pool.take(self.instance.entry, sending.left_s)
         except UpstreamLost as error:
             return NotRun(error.detail, reached=False)
         if self.is_withheld():
-            # It came to be known while the connection was opened.
+            # The reason arose while the connection was opened.
             connection.close()
             return NotRun("withheld", reached=False, withheld=True)
         head: AnswerHead | None = None
@@ -224,7 +227,7 @@
         except TimedOut:
             return Broken("silent", timed_out=True)
         finally:
-            # An upstream drops what it still does for a closed connection.
+            # Closing the connection makes the upstream cancel the request.
             if head is None:
                 connection.close()
         if head is not None:
@@ -234,7 +237,7 @@
         return result
 
     def notify_began(self) -> None:
-        """Tell that the answer began, or never will."""
+        """Call `on_began` unless it was called before."""
         if not self.has_begun:
             self.has_begun = True
             self.on_began()
@@ -242,10 +245,10 @@
     def _exchange(
         self, connection: UpstreamConnection, sending: Sending
     ) -> tuple[Result, AnswerHead | None]:
-        """Send the request and take the answer.
+        """Send the request and read the answer.
 
         Returns:
-            The result, and the answer's head if the connection is clean.
+            The result, and the answer's head if the connection can be reused.
         """
         call = self.call
         if self.caller.left():
@@ -264,7 +267,7 @@
         )
         self.head = head
         if not head.is_by_other(self.instance.entry.id):
-            # What another start says is no life of this one.
+            # Bytes of another instance do not show that this one is alive.
             self.instance.heard_at = connection.heard_at
         self.began_at = time.monotonic()
         self.notify_began()
@@ -283,7 +286,7 @@
         return Whole(head, body), head
 
     def _not_run(self, head: AnswerHead) -> NotRun:
-        """Return the result of a request that the upstream did not run."""
+        """Return the result of a request that the upstream refused to run."""
         if head.instance and head.instance != self.instance.entry.id:
             return NotRun("replaced", reached=True, replaced_by=head.instance)
         return NotRun("refused", reached=True)
@@ -291,7 +294,7 @@
     def _relay(
         self, connection: UpstreamConnection, head: AnswerHead
     ) -> tuple[Result, AnswerHead | None]:
-        """Pass a stream on, whole events at a time."""
+        """Pass a stream on to the caller in complete events."""
         splitter = EventSplitter()
         timeout = self.timeouts.head
         last_at = 0.0
@@ -308,7 +311,7 @@
             last_at = connection.heard_at
             self._pass_on(head, splitter, data)
             timeout = self.timeouts.gap
-        # An answer without a length ends with its connection.
+        # An answer without a length ends when its connection is closed.
         ended = connection.ended
         if splitter.incomplete:
             detail = "stream ended in the middle of an event"
@@ -335,13 +338,14 @@
         timeout: ReadTimeout,
         read: Callable[[float], T],
     ) -> T:
-        """Read a piece, for as long as the instance shows life.
+        """Read a part of the answer; wait longer while the instance is alive.
 
-        An instance that answers others has this request in its queue, and
-        another's queue is no shorter; one that is silent to all is down.
+        An instance that answers other requests has this request in its queue,
+        and queues elsewhere are no shorter; an instance that sends nothing to
+        any request counts as down.
 
         Raises:
-            TimedOut: Nothing came in time.
+            TimedOut: Nothing was received in time.
         """
         start = time.monotonic()
         last = min(start + timeout.queued_s, self.timeouts.end)
--- a/lacewingdock/components/gateway/attempt_log.py
+++ b/lacewingdock/components/gateway/attempt_log.py
@@ -1,4 +1,4 @@
-"""Support for telling of an attempt in the log."""
+"""Support for logging an attempt."""
 
 import time
 
@@ -20,11 +20,11 @@
     head: AnswerHead | None,
     seconds: float,
 ) -> None:
-    """Tell of an attempt, and of what the choice of its instance rested on.
+    """Log an attempt with the load figures of its instance.
 
-    The figures are as of now: this router's own, and what the others told in
-    the last second. What the platform says of the instance is in the line of
-    its entry.
+    The figures are current: this router's own, and those that the other routers
+    reported within the last second. The platform's data on the instance is in
+    the log line of its entry.
     """
     entry, now = instance.entry, time.monotonic()
     others = chooser.others(instance.mark)
--- a/lacewingdock/components/gateway/cascade.py
+++ b/lacewingdock/components/gateway/cascade.py
@@ -1,4 +1,4 @@
-"""Support for which of a route's models answers a request."""
+"""Support for choosing which of a route's models answers a request."""
 
 from typing import Final, Protocol
 
@@ -16,17 +16,17 @@
 from lacewingdock.world.call import AnswerHead, Call
 from lacewingdock.world.route import Repeat, Route
 
-# Attempts that a request takes where a larger model is asked after a smaller.
+# Attempts of a request where the largest model is asked after a smaller one.
 ATTEMPTS_OF_CASCADE: Final = 2
-# Retries that must be saved up before a smaller model is asked first: the
-# larger one's attempt takes one, and failures shall find some.
+# Retries that the retry budget must hold before a smaller model is asked first:
+# asking the larger model takes one, and some must remain for failures.
 CASCADE_RESERVE: Final = 2.0
 
 log = get_logger("gateway")
 
 
 class CascadeContext(Protocol):
-    """What all requests of a router share, as far as models hang on it."""
+    """The state shared by all requests that the choice of a model needs."""
 
     chooser: Chooser
 
@@ -34,20 +34,20 @@
         """Return the retry budget of a service."""
 
     def pressure(self, service: str) -> Pressure:
-        """Return how late a service's answers begin."""
+        """Return the load on a service, seen in its answers."""
 
 
 class Cascade:
-    """The models of one request: a small one first, the largest where needed.
+    """The model cascade of one request: a small model, then the largest.
 
     Attributes:
-        gateway: What all requests share.
+        gateway: The state that all requests share.
         call: The request.
-        route: Its route.
-        service: The service it goes to.
-        started: Monotonic time at which it came.
+        route: The request's route.
+        service: The service that the request is routed to.
+        started: Monotonic time at which the request was received.
         model: The model that answers; empty where the router does not choose.
-        enough: Confidence that was last asked of a smaller model.
+        required_confidence: Confidence last required of a smaller model.
     """
 
     __slots__ = (
@@ -68,7 +68,7 @@
         service: str,
         started: float,
     ) -> None:
-        """Choose the first model."""
+        """Choose the first model of a request."""
         self.gateway = gateway
         self.call = call
         self.route = route
@@ -79,15 +79,19 @@
 
     @property
     def is_largest(self) -> bool:
-        """Whether no larger model can be asked."""
+        """Return whether no larger model can be asked."""
         return not self.model or self.model == self.route.models[-1]
 
     def accepts(self, head: AnswerHead, attempts: int) -> bool:
-        """Whether an answer's first words show that it is good enough.
+        """Return whether an answer is accepted, by the confidence in its head.
+
+        A rejected answer takes one retry from the retry budget; without a
+        retry left, any answer is accepted.
 
         Args:
             head: The answer's head.
-            attempts: Attempts that reached an instance, this one too.
+            attempts: Number of attempts that reached an instance, including
+                this one.
         """
         if self.is_largest or attempts >= self.route.max_attempts:
             return True
@@ -102,10 +106,10 @@
         return not self.gateway.budget(self.service).take()
 
     def ask_larger(self, upstream: str, result: Unsure, left_s: float) -> None:
-        """Have the largest model answer instead of an unsure smaller one."""
+        """Choose the largest model after an unsure answer of a smaller one."""
         before, self.model = self.model, self.route.models[-1]
         log.info(
-            "larger model",
+            "largest model is asked after an unsure answer",
             request=self.call.id,
             upstream=upstream,
             model=before,
@@ -115,15 +119,15 @@
         )
 
     def on_instance_chosen(self, instance: Instance, *, goes_on: bool) -> None:
-        """Have the largest model answer at an instance that names a limit.
+        """Choose the largest model where the instance has a rate limit.
 
-        There each attempt counts alike, and its time does not: an answer that
-        is dropped as unsure would take one of few turns, and another one
-        elsewhere.
+        A rate limit counts attempts and not their cost: an answer that is
+        discarded as unsure would use up a turn at this instance, and the next
+        attempt another turn elsewhere.
 
         Args:
-            instance: Where the next attempt goes.
-            goes_on: Whether it goes on with a stream, which must keep its own
+            instance: The instance of the next attempt.
+            goes_on: Whether the attempt resumes a stream, which must keep its
                 model.
         """
         now = self.gateway.chooser.directory.clock.now()
@@ -131,14 +135,16 @@
             self.model = self.route.models[-1]
 
     def record_lateness(self, result: Result, began_at: float) -> None:
-        """Take how late an answer began, or did not.
+        """Record the lateness of an attempt's answer.
 
-        The largest model's always counts; a smaller one's only where it is
-        late itself, since it is far faster and would hide the other.
+        The largest model's lateness always counts. A smaller model is far
+        faster and would hide the largest model's lateness, so its answers count
+        only where they are late themselves. Without a first event only a
+        timeout counts.
 
         Args:
-            result: What came of an attempt.
-            began_at: Monotonic time of its first event; 0 where none came.
+            result: The attempt's result.
+            began_at: Monotonic time of the first event; 0 where none came.
         """
         if not self.model:
             return
@@ -151,10 +157,11 @@
             self.gateway.pressure(self.service).add(part)
 
     def _first(self) -> str:
-        """Return the smallest model where a larger one may be asked after.
+        """Return the smallest model if the largest can be asked afterwards.
 
-        That takes two attempts, and one more that may fail. Where all
-        instances take few each attempt takes a turn, and turns are few.
+        A cascade needs two attempts, and one more in case of a failure. Where
+        all instances are paced, each attempt takes one of few turns, so the
+        largest model is asked at once.
         """
         models = self.route.models
         may_ask_on = (
--- a/lacewingdock/components/gateway/confidence_threshold.py
+++ b/lacewingdock/components/gateway/confidence_threshold.py
@@ -1,4 +1,4 @@
-"""Support for choosing how sure a smaller model must be of its answer."""
+"""Support for the confidence that a smaller model's answer must reach."""
 
 import threading
 from typing import Final
@@ -6,47 +6,53 @@
 from lacewingdock.components.gateway.slowdown import Slowdown
 from lacewingdock.helpers.clock import STEADY, Clock
 
-# A smaller model's answer is taken from this confidence on: there the chance
-# that the model is too small for the request loses as much as the largest
-# model's use costs.
+# Confidence from which a smaller model's answer is accepted without load. At
+# this value the expected loss of quality equals the cost of the largest model.
 CONFIDENCE_ENOUGH: Final = 62.0
-# Where the largest model's answers begin later than this part of their goal,
-# less confidence is enough, and from the second part on any: late answers are
-# worth less than smaller ones in time, and larger models delay all others.
+# Lateness, as a part of the goal, from which less confidence is required, and
+# from which any confidence is accepted. A late answer is worth less than a
+# smaller model's answer in time, and larger models delay all other requests.
 RELAXED_BELOW: Final = 0.25
 ANY_FROM: Final = 0.8
-# The same where streams go on so many times slower than at rest.
+# The same two bounds for the slowdown of streams, as a multiple of the pause
+# without load.
 RELAXED_BELOW_SLOWDOWN: Final = 3.0
 ANY_FROM_SLOWDOWN: Final = 9.0
-# The same where their mean pause is so large a part of the longest that is on
-# time. A router that has just started does not know the pause at rest.
+# The same two bounds for the mean pause, as a part of the route's longest pause
+# that is on time. A router that has just started has no estimate of the pause
+# without load.
 RELAXED_BELOW_GAP: Final = 0.15
 ANY_FROM_GAP: Final = 0.4
-# Weight of a new answer in the running mean, and the time in which an old mean
-# loses half: after a burst the larger model is tried again within seconds.
+# Weight of a new answer in the running mean, and the half-life of the mean in
+# seconds while no answers arrive: after a burst the larger model is tried again
+# within seconds.
 NEW_WEIGHT: Final = 0.15
 HALF_LIFE_S: Final = 3.0
-# A single answer counts no more than this: beyond, it is late by any measure,
-# and the mean must come down again soon after a burst.
+# Cap on the lateness of a single answer, as a multiple of the goal. An
+# answer beyond it is late by any measure, and the mean must fall soon after a
+# burst.
 MAX_LATENESS: Final = 1.5
-# A goal of nothing would make every answer late without end.
+# Shortest goal in seconds; a goal of zero would make the lateness infinite.
 MIN_GOAL_S: Final = 1e-3
 
 
 class Pressure:
-    """How late a service's answers begin, as a part of their goal.
+    """The load on a service, seen in late answers and in slow streams.
+
+    Lateness is the time to the first event of an answer, as a part of the
+    route's goal.
 
     Attributes:
-        clock: The time it goes by.
-        mean: Running mean of the parts.
+        clock: The clock for all times.
+        mean: Running mean of the lateness.
         at: Monotonic time of the last answer.
-        slowdown: How much slower than at rest its streams go on.
+        slowdown: The pauses in the service's streams.
     """
 
     __slots__ = ("_lock", "at", "clock", "mean", "slowdown")
 
     def __init__(self, clock: Clock = STEADY) -> None:
-        """Start without pressure."""
+        """Create the state of a service without any load yet."""
         self.clock = clock
         self.mean = 0.0
         self.slowdown = Slowdown(clock)
@@ -54,7 +60,7 @@
         self._lock = threading.Lock()
 
     def add(self, part: float) -> None:
-        """Count an answer that began after a part of its goal."""
+        """Add the lateness of an answer to the running mean."""
         with self._lock:
             before = self.now()
             part = min(part, MAX_LATENESS)
@@ -62,16 +68,16 @@
             self.at = self.clock.now()
 
     def now(self) -> float:
-        """Return the mean, fading while no answer comes."""
+        """Return the mean lateness, decayed while no answer arrives."""
         age_s = self.clock.now() - self.at
         return float(self.mean * 0.5 ** (age_s / HALF_LIFE_S))
 
     def required_confidence(self, gap_s: float = 0.0) -> float:
-        """Return the confidence that is enough for a smaller model.
+        """Return the confidence that a smaller model's answer must reach.
 
         Args:
-            gap_s: The longest pause between two events that is on time; 0 where
-                any is.
+            gap_s: Longest pause between two events that is on time, in
+                seconds; 0 where there is no such bound.
         """
         scale = min(
             _confidence_scale(self.now(), RELAXED_BELOW, ANY_FROM),
@@ -90,6 +96,6 @@
 def _confidence_scale(
     value: float, relaxed_below: float, any_from: float
 ) -> float:
-    """Return how much of the usual confidence is asked for, from 0 to 1."""
+    """Return the share of the usual confidence to require, from 0 to 1."""
     scale = (any_from - value) / (any_from - relaxed_below)
     return min(max(scale, 0.0), 1.0)
--- a/lacewingdock/components/gateway/events.py
+++ b/lacewingdock/components/gateway/events.py
@@ -1,21 +1,21 @@
-"""Support for cutting a stream into whole events."""
+"""Support for splitting a stream into complete server-sent events."""
 
 import re
 from dataclasses import dataclass
 from typing import Final
 
-# An event ends with an empty line, whichever line ends the upstream uses.
+# An event ends with an empty line; upstreams use CRLF or LF.
 _END: Final = re.compile(rb"\r?\n\r?\n")
 _ID: Final = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
 
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """One event, as it came.
+    """A complete event, with its bytes unchanged.
 
     Attributes:
-        id: Its id; empty where it has none.
-        data: All its bytes, the empty line at its end too.
+        id: Value of the id field; empty where there is none.
+        data: All bytes of the event, including the empty line at its end.
     """
 
     id: str
@@ -23,20 +23,20 @@
 
 
 class EventSplitter:
-    """Cuts bytes into events, and keeps the rest for the next ones.
+    """Splits a stream of bytes into events, and buffers an incomplete event.
 
     Attributes:
-        rest: Bytes of an event that is not whole yet.
+        incomplete: Bytes received of an event that is not complete yet.
     """
 
     __slots__ = ("incomplete",)
 
     def __init__(self) -> None:
-        """Start at the beginning of an event."""
+        """Create a splitter for the start of a stream."""
         self.incomplete = b""
 
     def append(self, data: bytes) -> list[Event]:
-        """Take bytes and return the events that they make whole."""
+        """Append received bytes, and return the events that they complete."""
         text = self.incomplete + data
         found = []
         start = 0
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Support for one request of a caller, from its route to its answer."""
+"""Support for serving one request of a caller, from route to answer."""
 
 import time
 from typing import Final
@@ -55,47 +55,53 @@
 from lacewingdock.world.call import Call, Sending
 from lacewingdock.world.route import Caller, Repeat, Route, RoutingTable
 
-# Attempts that reach no upstream do not count, since nothing ran; more than
-# this many in a row say that none can be reached.
+# Attempts of one request that reach no upstream before it is given up, as no
+# instance seems reachable. They do not count as attempts of the route, since
+# nothing ran.
 MAX_UNREACHED: Final = 4
-# With less time left than this, another attempt can't be answered.
+# Shortest time left, in seconds, in which another attempt can be answered.
 MIN_LEFT_S: Final = 0.03
-# A request that meets a starting router waits this long for the first
-# configuration, instances and roll-outs, which take some round trips to the
-# store; a refusal would have the caller wait longer.
+# Seconds that a request waits at a starting router for the first configuration,
+# instances and roll-outs, which take some round trips to the store. After a
+# refusal the caller would wait longer.
 START_WAIT_S: Final = 0.4
-# Waits of callers that do not say how long; beyond any route's timeout.
+# Deadline of a request in seconds until its route is found; longer than any
+# route's timeout.
 DEFAULT_TIMEOUT_S: Final = 60.0
 
-# Streams with fewer events show no pace: they may all come at once.
+# Fewest events of a stream whose pace is recorded; fewer events may all arrive
+# at once.
 MIN_PACE_EVENTS: Final = 4
-# Tokens of prompts in the unit in which instances are compared.
+# Prompt tokens in one unit of the work by which instances are compared.
 WORK_UNIT: Final = 1000.0
-# Upstreams rank requests from 0, the first, to this.
+# Lowest priority of a request at upstreams; 0 is the highest.
 LAST_PRIORITY: Final = 9
 
 log = get_logger("gateway")
 
 
 class Exchange:
-    """One request, served by the task of its connection.
+    """One request, served by the thread of its connection.
 
     Attributes:
-        gateway: What all requests share.
+        gateway: The state that all requests share.
         call: The request.
         connection: The caller's connection.
-        table: The routing table in force when it came.
-        route: Its route.
-        service: The service it goes to.
-        caller: Its workspace.
-        end: Monotonic time at which it is given up.
-        progress: How far its stream got.
-        tried: The instances that it reached, by their starts.
-        unreached: Attempts that reached none.
-        unread: What the next attempt has to read at its instance.
-        may_have_run: Whether an attempt did not say that it was not run.
-        cascade: Which of the route's models answers.
-        crashes: Whether it crashes the instances that run it.
+        table: The routing table in force when the request was received.
+        route: The request's route.
+        service: The service that the request is routed to.
+        caller: The caller's workspace; None where no key is required.
+        started: Monotonic time at which the request was received.
+        end: Monotonic deadline of the request.
+        progress: How much of the stream was sent to the caller.
+        tried: Incarnations of the instances that the request has reached.
+        unreached: Number of attempts that reached no instance.
+        unread: Prompt work of the next attempt, in `WORK_UNIT` tokens.
+        may_have_run: Whether an attempt ended without proof that the request
+            did not run.
+        cascade: Chooses which of the route's models answers.
+        is_poison: Whether the request was found to be a poison request, which
+            crashes the instances that run it.
     """
 
     __slots__ = (
@@ -124,7 +130,7 @@
     def __init__(
         self, gateway: Gateway, call: Call, connection: ServerConnection
     ) -> None:
-        """Take the request; `run` serves it."""
+        """Create the exchange of a request; `run` serves it."""
         self.gateway = gateway
         self.call = call
         self.connection = connection
@@ -140,7 +146,7 @@
         self.is_poison = False
 
     def run(self) -> None:
-        """Serve the request to its final answer."""
+        """Serve the request until its answer is sent or its caller left."""
         try:
             self._admit()
             outcome = self._attempts()
@@ -150,7 +156,7 @@
             outcome = left()
             self.connection.keep = False
         except Exception as error:
-            # A fault of ours must not leave the caller without an answer.
+            # A fault in the router must not leave the caller without an answer.
             log.exception("request failed", request=self.call.id)
             outcome = self._refuse(
                 LacewingdockError(ErrorKind.INTERNAL, repr(error))
@@ -158,23 +164,24 @@
         report_outcome(self, outcome)
 
     def _admit(self) -> None:
-        """Find route, workspace and time.
+        """Look up route and workspace, and set the deadline.
 
         Raises:
-            LacewingdockError: NOT_READY, NOT_FOUND or UNAUTHORIZED.
+            LacewingdockError: NOT_READY, NOT_FOUND, UNAUTHORIZED or
+                REPEATS_CRASH.
         """
         call = self.call
         self.gateway.wait_until_ready(START_WAIT_S)
         table = self.gateway.routes.table
         if table is None:
             raise LacewingdockError(
-                ErrorKind.NOT_READY, "no configuration is known yet"
+                ErrorKind.NOT_READY, "no configuration was loaded yet"
             )
         route = table.find(call.host, call.path)
         if route is None:
             raise LacewingdockError(
                 ErrorKind.NOT_FOUND,
-                f"no route at configuration {table.version}",
+                f"no route matches in configuration {table.version}",
             )
         self.table, self.route = table, route
         if table.callers is not None and not route.public:
@@ -182,7 +189,7 @@
             if self.caller is None:
                 raise LacewingdockError(
                     ErrorKind.UNAUTHORIZED,
-                    f"unknown key at configuration {table.version}",
+                    f"unknown API key in configuration {table.version}",
                 )
         patience_s = route.timeout_s
         if call.patience_s is not None:
@@ -198,7 +205,7 @@
 
     @property
     def workspace(self) -> str:
-        """Name of the caller's workspace; empty where none is known."""
+        """Name of the caller's workspace; empty where no key is required."""
         return self.caller.workspace if self.caller else ""
 
     def _service(self) -> str:
@@ -209,10 +216,10 @@
         return self.gateway.random.choices(targets, weights)[0].service
 
     def _attempts(self) -> Outcome:
-        """Make attempts until there is an answer; return the outcome.
+        """Make attempts until one is answered; return the outcome.
 
         Raises:
-            LacewingdockError: It is given up.
+            LacewingdockError: The request is given up.
             CallerGone, CallerLeft: The caller closed its connection.
         """
         while True:
@@ -227,7 +234,7 @@
                 continue
             if is_failure(result) and self._may_repeat(result):
                 log.info(
-                    "another attempt",
+                    "attempt failed, trying another",
                     request=self.call.id,
                     upstream=instance.entry.id,
                     result=type(result).__name__,
@@ -249,7 +256,7 @@
         """Return the instance of the next attempt.
 
         Raises:
-            LacewingdockError: There is none.
+            LacewingdockError: No instance accepts the request in time.
         """
         shift = self.gateway.shifts.version(
             self.service, self.call, again=self.may_have_run
@@ -270,11 +277,11 @@
         return found
 
     def _turn_deadline(self) -> float:
-        """Return until when a turn at an instance is waited for.
+        """Return the time up to which to wait for a turn at a paced instance.
 
-        More urgent requests wait longer, so where turns are few the others
-        are refused first. One that may have run can't be refused any more, so
-        it waits for as long as it can be answered.
+        Requests of higher priority wait longer, so that where turns are few the
+        others are refused first. A request that may have run can't be refused
+        as not run any more, so it waits for as long as it can be answered.
         """
         if self.may_have_run:
             return self.end - MIN_LEFT_S
@@ -291,8 +298,9 @@
         which only holds while no attempt may have run.
 
         Args:
-            detail: Why there is none.
-            after_s: Seconds after which there may be one, if that is known.
+            detail: The reason.
+            after_s: Seconds after which a retry may succeed; None where
+                unknown.
         """
         if not self.may_have_run:
             return not_run_error(detail, after_s, self.gateway.random)
@@ -301,7 +309,7 @@
         return LacewingdockError(ErrorKind.UPSTREAM_FAILED, detail)
 
     def _unread_work(self) -> float:
-        """Return what the request has to read at an instance."""
+        """Return the prompt work of the request, in `WORK_UNIT` tokens."""
         call = self.call
         costs = self.table.services.get(self.service)
         share = costs.relative_cost(self.cascade.model) if costs else 1.0
@@ -320,7 +328,7 @@
             lambda: (
                 self._check_poison() or not instance.takes_any(time.monotonic())
             ),
-            # This attempt is not among those counted yet.
+            # `tried` does not include this attempt yet.
             lambda head: self.cascade.accepts(head, len(self.tried) + 1),
             lambda head: self.gateway.record_head(instance, head, start),
             lambda: self.gateway.chooser.began(instance, unread),
@@ -356,9 +364,10 @@
         return result
 
     def _check_poison(self) -> bool:
-        """Whether it is known by now that it crashes what runs it.
+        """Return whether the request has been found to be a poison request.
 
-        It may have waited for a turn or a connection since it was admitted.
+        Evidence may have arrived since the request was admitted, while it
+        waited for a turn or a connection.
         """
         if not self.is_poison:
             suspects = self.gateway.suspects
@@ -366,14 +375,14 @@
         return self.is_poison
 
     def priority(self) -> int:
-        """Return the request's rank; its workspace's goes first."""
+        """Return the priority of the workspace, or else of the route."""
         rank = self.route.priority
         if self.caller is not None and self.caller.priority is not None:
             rank = self.caller.priority
         return min(max(rank, 0), LAST_PRIORITY)
 
     def _timeouts(self, instance: Instance) -> ReadTimeouts:
-        """Return how long an attempt waits."""
+        """Return the timeouts of an attempt at an instance."""
         may_repeat = (
             self.route.repeat is not Repeat.ONCE
             and len(self.tried) + 1 < self.route.max_attempts
@@ -388,12 +397,12 @@
     def _record_pace(
         self, attempt: Attempt, result: Result, events: int
     ) -> None:
-        """Take at what pace a whole stream went on.
+        """Record the mean pause of a complete stream.
 
         Args:
             attempt: The attempt.
-            result: What came of it.
-            events: Events that were passed on before it.
+            result: The attempt's result.
+            events: Number of events sent before the attempt.
         """
         count = self.progress.events - events
         if isinstance(result, Streamed) and count >= MIN_PACE_EVENTS:
@@ -403,7 +412,7 @@
     def _record_result(
         self, instance: Instance, result: Result, start: float, events: int
     ) -> None:
-        """Take what an attempt shows of its instance and its version."""
+        """Record a result for the instance, its version and the request."""
         match result:
             case NotRun(withheld=True):
                 return
@@ -413,8 +422,8 @@
                 self.gateway.chooser.directory.may_be_cold(instance)
                 return
             case NotRun(replaced_by=other) if other:
-                # It says nothing of the request, which may go to as many
-                # instances as before.
+                # The entry was stale, so the attempt does not count against the
+                # route's attempts.
                 self.gateway.chooser.replaced(instance, other)
                 return
             case NotRun():
@@ -427,7 +436,7 @@
             case _:
                 self._succeeded(instance)
         if isinstance(result, Whole | Streamed) and not is_failure(result):
-            # A failure, or a head alone, does not show that it runs to its end.
+            # Neither an error nor a head alone proves a complete run.
             self.gateway.suspects.answered(self.call, self.workspace)
         if not isinstance(result, NotRun):
             self.may_have_run = True
@@ -448,13 +457,13 @@
         )
 
     def _succeeded(self, instance: Instance) -> None:
-        """Count a good answer; one that was down for a while may be cold."""
+        """Count a success; an instance that had failed may be cold again."""
         if instance.recent_failures(time.monotonic()) >= FAILURES_TO_PASS_OVER:
             self.gateway.chooser.directory.may_be_cold(instance)
         instance.succeeded()
 
     def _record_loss(self, instance: Instance, result: Broken) -> None:
-        """Note that an instance lost the request, which may be the cause."""
+        """Record a lost request, which may have crashed its instance."""
         suspects, start = self.gateway.suspects, instance.entry.incarnation
         if not result.ended:
             suspects.passed_over(self.call, start, Decision.NOT_ENDED)
@@ -464,16 +473,16 @@
         )
 
     def _may_repeat(self, result: Result) -> bool:
-        """Whether another attempt may be made, and can still be answered."""
+        """Return whether another attempt is allowed and can be answered."""
         if self._check_poison() or self.end - time.monotonic() < MIN_LEFT_S:
             return False
         if isinstance(result, NotRun) and result.withheld:
-            # It is not chosen again, so there is an end.
+            # The instance is not chosen again, so the retries are finite.
             return True
         if isinstance(result, NotRun) and not result.reached:
             return self.unreached < MAX_UNREACHED
         if isinstance(result, NotRun) and result.replaced_by:
-            # Each one is found once, so there is an end.
+            # Each replaced instance is found once, so the retries are finite.
             return self.gateway.budget(self.service).take()
         if self.route.repeat is Repeat.ONCE and not isinstance(result, NotRun):
             return False
@@ -482,10 +491,10 @@
         return self.gateway.budget(self.service).take()
 
     def _give_up(self, result: Result) -> Outcome:
-        """End a request that no attempt answered; return the outcome.
+        """End a request without a usable answer; return the outcome.
 
         Raises:
-            LacewingdockError: What the caller is told.
+            LacewingdockError: The error for the caller.
         """
         detail = getattr(result, "detail", "upstream failed")
         if self.progress.started:
@@ -496,7 +505,7 @@
         raise self._no_answer(detail, after_s)
 
     def _break_off(self, detail: str) -> Outcome:
-        """Close a stream that nothing goes on with, visibly not whole."""
+        """Reset the connection to show that the stream is incomplete."""
         self.connection.keep = False
         self.connection.abort()
         return broken_off(detail)
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Support for what all requests of a router share."""
+"""Support for the state that all requests of a router share."""
 
 import random
 import time
@@ -28,23 +28,24 @@
 
 
 class Gateway:
-    """What all requests share.
+    """The state that all requests of a router share.
 
     Attributes:
-        routes: The routing table.
+        routes: Holds the routing table.
         chooser: Chooses upstream instances.
-        pool: Connections to them.
+        pool: Connections to upstream instances.
         shifts: Roll-outs under way.
-        suspects: Requests that were lost at instances.
-        metrics: Counters and histograms.
+        suspects: Requests that may be poison requests, since instances failed
+            while they ran them.
+        metrics: Counts and durations of requests and attempts.
         budgets: Retry budgets by service.
-        pressures: How late each service's answers begin.
-        retry_terms: What this router may make of the fleet's retries.
-        random: Source of draws.
-        unknown_headers: What upstreams say that no page explains.
-        odd_values: Headers of theirs whose values can't be read.
-        essentials: Set once what a request needs is known: the routing table,
-            the instances, the roll-outs.
+        pressures: Load on each service, seen in its answers.
+        retry_terms: This router's share of the fleet's retries.
+        random: Random source.
+        unknown_headers: Undocumented headers in answers of upstreams.
+        odd_values: Headers in answers of upstreams whose values are invalid.
+        readiness_events: Events set once the state that a request needs is
+            loaded: the routing table, the instances, the roll-outs.
     """
 
     __slots__ = (
@@ -73,7 +74,7 @@
         retry_terms: RetryTerms,
         source: random.Random,
     ) -> None:
-        """Take the parts."""
+        """Create the shared state with empty pools, budgets and counts."""
         self.routes = routes
         self.chooser = chooser
         self.shifts = shifts
@@ -89,7 +90,7 @@
         self.readiness_events = [routes.known]
 
     def wait_until_ready(self, timeout_s: float) -> None:
-        """Wait until what a request needs is known, as at a start."""
+        """Wait until the state that a request needs is loaded after a start."""
         until = time.monotonic() + timeout_s
         for known in self.readiness_events:
             known.wait(max(until - time.monotonic(), 0.0))
@@ -97,29 +98,29 @@
     def budget(self, service: str) -> FleetBudget:
         """Return the retry budget of a service."""
         if service not in self.budgets:
-            # Two tasks at once agree on one.
+            # Threads that get here at the same time must share one budget.
             budget = FleetBudget(self.retry_terms)
             return self.budgets.setdefault(service, budget)
         return self.budgets[service]
 
     def update_retry_terms(self, terms: RetryTerms) -> None:
-        """Take this router's part of the fleet's retries; once a second."""
+        """Apply this router's share of the fleet's retries; once a second."""
         self.retry_terms = terms
         for budget in list(self.budgets.values()):
             budget.tick(terms)
 
     def pressure(self, service: str) -> Pressure:
-        """Return how late a service's answers begin."""
+        """Return the load on a service, seen in its answers."""
         return self.pressures.setdefault(service, Pressure())
 
     def record_head(
         self, instance: Instance, head: AnswerHead, sent_at: float
     ) -> None:
-        """Take what the head of an answer says of its instance.
+        """Record what the head of an answer reports about its instance.
 
         Args:
-            instance: The instance that was asked.
-            head: The head.
+            instance: The instance that the request was sent to.
+            head: The head of the answer.
             sent_at: Monotonic time at which the request was sent.
         """
         entry = instance.entry
@@ -136,7 +137,7 @@
     def refuse(
         self, connection: ServerConnection, call: Call, error: LacewingdockError
     ) -> None:
-        """Refuse a request before anything is done about it."""
+        """Refuse a request before its route is looked up."""
         log.info("request refused", request=call.id, code=error.kind)
         self.metrics.count_outcome("", None, None, refused(error), 0.0)
         answer_error(connection, error, call.id)
@@ -144,7 +145,7 @@
     def refuse_unread(
         self, connection: ServerConnection, error: LacewingdockError
     ) -> None:
-        """Refuse a request that could not be read."""
+        """Refuse a request that could not be parsed or read in time."""
         log.info("request unread", code=error.kind, detail=error.detail)
         self.metrics.count_outcome("", None, None, refused(error), 0.0)
         connection.keep = False
@@ -154,7 +155,7 @@
 def answer_error(
     connection: ServerConnection, error: LacewingdockError, call_id: str
 ) -> None:
-    """Answer with a problem document and when to come back.
+    """Answer with a problem document and a Retry-After where there is one.
 
     Raises:
         CallerGone: The connection broke.
--- a/lacewingdock/components/gateway/metrics.py
+++ b/lacewingdock/components/gateway/metrics.py
@@ -1,8 +1,8 @@
 """Support for counting direct calls.
 
-The counts are plain, and turned into metrics when they are asked for: loading
-the metrics library takes time in which a restarted router answers nobody, and
-it counts a request several times as slowly.
+Requests are counted in plain containers, which are converted when the metrics
+are scraped. Loading the metrics library would delay the first answers of a
+restarted router, and its counters are several times slower.
 """
 
 import threading
@@ -15,18 +15,20 @@
 from lacewingdock.components.upstreams.instance import InstanceState
 from lacewingdock.world.route import Repeat
 
-# From a round trip to the longest timeout of a route.
+# Upper bounds of the histogram buckets in seconds, from a round trip to the
+# longest timeout of a route.
 BUCKETS_S: Final = (0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
 
 
 class RequestLabels(NamedTuple):
-    """What requests are counted by; values come from small closed sets.
+    """Labels of the request counter; each has a small closed set of values.
 
     Attributes:
-        service: Where it went; empty where no route was found.
-        contract: How often it may run; "none" where no route was found.
-        rank: Rank of its workspace or route; "none" where none is known.
-        end: How it ended, as its caller saw it.
+        service: Service of the route; empty where no route was found.
+        contract: How often the request may run; "none" where no route was
+            found.
+        rank: Priority of the workspace or route; "none" where unknown.
+        end: How the request ended for its caller.
         code: Status of the answer, or the error's code.
     """
 
@@ -38,11 +40,11 @@
 
 
 class AttemptLabels(NamedTuple):
-    """What attempts are counted by.
+    """Labels of the attempt counter.
 
     Attributes:
-        state: State of the instance before.
-        result: What came of it.
+        state: State of the instance before the attempt.
+        result: Class of the attempt's result.
     """
 
     state: str
@@ -50,7 +52,7 @@
 
 
 class TimeLabels(NamedTuple):
-    """What times are counted by; see `RequestLabels`."""
+    """Labels of the request durations; see `RequestLabels`."""
 
     contract: str
     rank: str
@@ -59,11 +61,11 @@
 
 @dataclass(slots=True)
 class DurationHistogram:
-    """A histogram of times.
+    """A histogram of durations.
 
     Attributes:
-        counts: Times in each bucket, and beyond the last.
-        total_s: Their sum.
+        counts: Number of durations in each bucket, and above the last bound.
+        total_s: Sum of the durations in seconds.
     """
 
     counts: list[int] = field(
@@ -72,7 +74,7 @@
     total_s: float = 0.0
 
     def add(self, seconds: float) -> None:
-        """Count a time."""
+        """Add a duration to its bucket and to the sum."""
         self.counts[bisect_left(BUCKETS_S, seconds)] += 1
         self.total_s += seconds
 
@@ -81,15 +83,15 @@
     """Counts of requests and attempts.
 
     Attributes:
-        requests: Requests.
-        seconds: Times to the end of the answer.
-        attempts: Attempts.
+        requests: Number of finished requests.
+        seconds: Durations from the request to the end of the answer.
+        attempts: Number of attempts.
     """
 
     __slots__ = ("_lock", "attempts", "requests", "seconds")
 
     def __init__(self) -> None:
-        """Start at nothing."""
+        """Create empty counters."""
         self.requests: Counter[RequestLabels] = Counter()
         self.seconds: dict[TimeLabels, DurationHistogram] = {}
         self.attempts: Counter[AttemptLabels] = Counter()
@@ -103,14 +105,15 @@
         outcome: Outcome,
         seconds: float,
     ) -> None:
-        """Count a request that got its final answer.
+        """Count a finished request.
 
         Args:
-            service: Where it went; empty where no route was found.
-            contract: How often it may run; None where no route was found.
-            rank: Rank of its workspace or route; None where none is known.
-            outcome: How it ended.
-            seconds: How long it took.
+            service: Service of the route; empty where no route was found.
+            contract: How often the request may run; None where no route was
+                found.
+            rank: Priority of the workspace or route; None where unknown.
+            outcome: How the request ended.
+            seconds: Seconds from the request to the end of the answer.
         """
         labels = RequestLabels(
             service,
@@ -125,12 +128,12 @@
             self.seconds.setdefault(times, DurationHistogram()).add(seconds)
 
     def count_attempt(self, state: InstanceState, result: str) -> None:
-        """Count an attempt."""
+        """Count an attempt by the instance's state and the result."""
         with self._lock:
             self.attempts[AttemptLabels(state, result)] += 1
 
     def copy(self) -> "GatewayMetrics":
-        """Return the counts as they are now."""
+        """Return a consistent copy of the counters."""
         found = GatewayMetrics()
         with self._lock:
             found.requests = self.requests.copy()
--- a/lacewingdock/components/gateway/outcome.py
+++ b/lacewingdock/components/gateway/outcome.py
@@ -1,4 +1,4 @@
-"""Support for how a request ended."""
+"""Support for the outcomes of requests."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,11 +10,12 @@
     """How a request ended, as its caller saw it.
 
     Attributes:
-        ANSWERED: With an upstream's whole answer, its failure included.
-        STREAMED: With a whole stream.
-        BROKEN_OFF: With a part of a stream.
-        REFUSED: With the router's own answer.
-        LEFT: The caller left first.
+        ANSWERED: The caller got an upstream's complete answer, which may be
+            the upstream's own error.
+        STREAMED: The caller got a complete stream.
+        BROKEN_OFF: The caller got only a part of a stream.
+        REFUSED: The caller got an error of the router.
+        LEFT: The caller closed the connection before the answer.
     """
 
     ANSWERED = "answered"
@@ -26,12 +27,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How a request ended.
+    """How a request ended, with its status or error.
 
     Attributes:
-        end: What its caller saw.
+        end: How the request ended for its caller.
         code: Status of the answer, or the error's code.
-        detail: Why, for people.
+        detail: The reason, as text for operators.
     """
 
     end: End
@@ -39,7 +40,7 @@
     detail: str = ""
 
     def __str__(self) -> str:
-        """Return it as a log line says it."""
+        """Return the outcome as the text of the log field."""
         match self.end:
             case End.ANSWERED:
                 return f"status {self.code}"
@@ -54,20 +55,20 @@
 
 
 def answered(status: int) -> Outcome:
-    """Return the outcome of an upstream's whole answer."""
+    """Return the outcome of a request with an upstream's complete answer."""
     return Outcome(End.ANSWERED, str(status))
 
 
 def broken_off(detail: str) -> Outcome:
-    """Return the outcome of a stream that ended before its last event."""
+    """Return the outcome of a request whose stream is incomplete."""
     return Outcome(End.BROKEN_OFF, "", detail)
 
 
 def refused(error: LacewingdockError) -> Outcome:
-    """Return the outcome of an error that the caller was told."""
+    """Return the outcome of a request that was answered with an error."""
     return Outcome(End.REFUSED, str(error.kind), error.detail)
 
 
 def left() -> Outcome:
-    """Return the outcome of a caller that did not wait."""
+    """Return the outcome of a request whose caller disconnected."""
     return Outcome(End.LEFT, str(ErrorKind.CALLER_LEFT))
--- a/lacewingdock/components/gateway/placement.py
+++ b/lacewingdock/components/gateway/placement.py
@@ -1,4 +1,8 @@
-"""Support for finding the instance that an attempt goes to."""
+"""Support for placing an attempt on an upstream instance.
+
+A paced instance is cold, names a rate limit, or asked for a backoff by
+Retry-After: requests are sent to it one by one, each in its turn.
+"""
 
 import time
 from collections.abc import Collection
@@ -14,16 +18,16 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementRequest:
-    """A request that is to be placed.
+    """A request for which an instance is to be chosen.
 
     Attributes:
-        service: The service that it goes to.
-        rule: The versions and instances that may run it.
-        unread: What it has to read, as `Chooser.choose` takes it.
-        tried: The instances that it was at, by their starts.
-        request: Its id.
-        turn_by: Monotonic time up to which it waits for its turn at an
-            instance that takes few, where there is no other.
+        service: The service that the request is routed to.
+        rule: The versions and instances that may run the request.
+        unread: Prompt work of the request, in the unit of `Chooser.choose`.
+        tried: Incarnations of the instances that the request has reached.
+        request: Id of the request.
+        turn_deadline: Monotonic time up to which the request waits for a turn
+            at a paced instance, where no other instance accepts it.
     """
 
     service: str
@@ -34,16 +38,17 @@
     turn_deadline: float
 
     def allows(self, instance: Instance) -> bool:
-        """Whether an instance may run it."""
+        """Return whether an instance may run the request."""
         return self.rule.admits(instance.entry)
 
 
 @dataclass(slots=True, frozen=True)
 class NoInstance:
-    """No instance takes a request now.
+    """No instance accepts the request at present.
 
     Attributes:
-        after_s: Seconds after which one may; None where that is not known.
+        after_s: Seconds after which an instance may accept it; None where
+            that is unknown.
     """
 
     after_s: float | None
@@ -52,9 +57,10 @@
 def find_instance(
     chooser: Chooser, placement_request: PlacementRequest
 ) -> Instance | Turn | NoInstance:
-    """Return where a request goes now, counted in there.
+    """Choose an instance for a request, and count the request as running there.
 
-    Where all that may run it take few, it is a turn that is yet to come.
+    Where only paced instances may run the request, and none has a turn now, a
+    later turn is reserved and returned.
     """
     chosen = chooser.choose(
         placement_request.service,
@@ -81,14 +87,14 @@
 def wait_for_instance(
     chooser: Chooser, placement_request: PlacementRequest
 ) -> Instance | NoInstance:
-    """Return the instance that a request goes to, once it is its turn."""
+    """Choose an instance for a request, and wait for its turn there."""
     while True:
         found = find_instance(chooser, placement_request)
         if not isinstance(found, Turn):
             return found
         wait_s = max(found.at - time.monotonic(), 0.0)
         log.info(
-            "waits for its turn",
+            "request waits for its turn at a paced instance",
             request=placement_request.request,
             upstream=found.instance.entry.id,
             state=found.instance.state(found.at),
@@ -97,6 +103,6 @@
         time.sleep(wait_s)
         if found.instance.takes_any(time.monotonic()):
             return found.instance
-        # It left or was cordoned meanwhile.
+        # The instance left or was cordoned during the wait.
         chooser.began(found.instance, placement_request.unread)
         chooser.done(found.instance)
--- a/lacewingdock/components/gateway/refusal.py
+++ b/lacewingdock/components/gateway/refusal.py
@@ -1,31 +1,32 @@
-"""Support for the errors of requests that get no answer of an upstream."""
+"""Support for the errors of requests that no upstream answers."""
 
 import random
 from typing import Final
 
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 
-# How soon a refused caller may come back. Callers wait at most a third of the
-# time they have left.
+# Shortest Retry-After of a refusal, in seconds. Callers wait at most a third of
+# the time that they have left.
 RETRY_AFTER_S: Final = 0.25
-# Callers that are told when there is room come back within so many times that.
+# Largest random factor on a known time until there is capacity, so that callers
+# retry at different times.
 SPREAD_AFTER: Final = 1.5
 
 
 def not_run_error(
     detail: str, after_s: float | None, source: random.Random
 ) -> LacewingdockError:
-    """Return the error of a request that never ran and never will.
+    """Return the error of a request that has not run and will not run.
 
     Args:
-        detail: Why.
-        after_s: Seconds after which there may be an answer, if that is known.
-        source: Source of draws.
+        detail: The reason.
+        after_s: Seconds after which a retry may succeed; None where unknown.
+        source: Random source for the spread of Retry-After.
     """
     wait_s, spread = RETRY_AFTER_S, 1.0
     if after_s is not None:
         wait_s = max(after_s, RETRY_AFTER_S)
-        # Who is refused together shall not come back together.
+        # Callers refused together must not all retry at the same time.
         spread = source.uniform(1.0, SPREAD_AFTER)
     return LacewingdockError(
         ErrorKind.NO_UPSTREAM, detail, retry_after_s=wait_s * spread
@@ -33,7 +34,8 @@
 
 
 def repeats_crash_error() -> LacewingdockError:
-    """Return the error of a request that crashes what runs it."""
+    """Return the error of a poison request, which crashes instances."""
     return LacewingdockError(
-        ErrorKind.REPEATS_CRASH, "it was lost at several instances"
+        ErrorKind.REPEATS_CRASH,
+        "several instances failed while they ran this request",
     )
--- a/lacewingdock/components/gateway/request_log.py
+++ b/lacewingdock/components/gateway/request_log.py
@@ -1,4 +1,4 @@
-"""Support for counting and telling of a request at its end."""
+"""Support for counting and logging a finished request."""
 
 import time
 from typing import TYPE_CHECKING
@@ -13,9 +13,9 @@
 
 
 def report_outcome(exchange: "Exchange", outcome: Outcome) -> None:
-    """Count and tell of a request that got its final answer."""
+    """Count and log a finished request."""
     seconds = time.monotonic() - exchange.started
-    # One that was refused early has no route, or no cascade.
+    # A request that is refused early has no route yet, or no cascade.
     route = getattr(exchange, "route", None)
     cascade = getattr(exchange, "cascade", None)
     exchange.gateway.metrics.count_outcome(
@@ -46,7 +46,7 @@
 
 
 def _first_s(exchange: "Exchange") -> float | None:
-    """Return after how many seconds a stream began; None if it did not."""
+    """Return the seconds to a stream's first event; None without one."""
     if not exchange.progress.started:
         return None
     return round(exchange.progress.first_at - exchange.started, 4)
--- a/lacewingdock/components/gateway/slowdown.py
+++ b/lacewingdock/components/gateway/slowdown.py
@@ -1,4 +1,4 @@
-"""Support for how much slower than at rest a service's streams go on."""
+"""Support for measuring how far load slows down a service's streams."""
 
 import threading
 from typing import Final
@@ -6,39 +6,41 @@
 from lacewingdock.helpers.clock import STEADY, Clock
 
 # The pause between two events of a stream is the time of some steps of its
-# engine, whichever model answers. Each step also reads a chunk of the prompts
-# that wait, so pauses grow with what is to be read, at once and by ten times:
-# before answers begin late, which those that wait do not show yet.
+# engine, whichever model answers. Each step also reads a chunk of the queued
+# prompts, so pauses grow with the prompt backlog at once, by up to ten times.
+# The time to the first event shows the backlog later: requests that still wait
+# for their first event contribute no measurement.
 
-# Weight of a pause in the mean: counted by events and not by time, the mean
-# follows a crowd within a second.
+# Weight of a pause in the running mean. The mean is weighted by events and not
+# by time, so that it follows a load spike within a second.
 WEIGHT: Final = 0.04
-# Time in which the mean loses half of what is above rest while nothing comes.
+# Half-life of the mean pause, in seconds, while no events arrive.
 HALF_LIFE_S: Final = 0.7
-# The pause at rest is the quantile of streams' mean pauses of which this part
-# is shorter, moved by this step of its logarithm with each stream, so that a
-# crowd hardly raises it.
+# The pause without load is estimated as this quantile of the mean pauses of
+# streams. Each stream moves the estimate by at most this step of its logarithm,
+# so that a load spike hardly raises it.
 REST_QUANTILE: Final = 0.1
 REST_STEP: Final = 0.05
-# Streams that must have ended before a slowdown is told.
+# Streams that must have ended before a slowdown is reported.
 MIN_STREAMS: Final = 8
 
 
 class Slowdown:
-    """How much slower than at rest a service's streams go on.
+    """The pauses in a service's streams, compared with those without load.
 
     Attributes:
-        clock: The time it goes by.
-        rest_s: Seconds between two events at rest; 0 while unknown.
-        mean_s: Mean seconds between two events lately.
-        streams: Streams that ended.
+        clock: The clock for all times.
+        rest_s: Estimated seconds between two events without load; 0 while
+            unknown.
+        mean_s: Running mean of the seconds between two events.
+        streams: Number of streams that ended.
         at: Monotonic time of the last event.
     """
 
     __slots__ = ("_lock", "at", "clock", "mean_s", "rest_s", "streams")
 
     def __init__(self, clock: Clock = STEADY) -> None:
-        """Start at rest."""
+        """Create the estimate for a service without any streams yet."""
         self.clock = clock
         self.rest_s = 0.0
         self.mean_s = 0.0
@@ -47,13 +49,13 @@
         self._lock = threading.Lock()
 
     def paused(self, seconds: float) -> None:
-        """Take the pause between two events of a stream."""
+        """Add the pause between two events of a stream to the mean."""
         with self._lock:
             self.mean_s += WEIGHT * (seconds - self.mean_s)
             self.at = self.clock.now()
 
     def ended(self, mean_s: float) -> None:
-        """Take the mean pause of a stream that ended."""
+        """Update the pause without load by an ended stream's mean pause."""
         if mean_s <= 0.0:
             return
         with self._lock:
@@ -66,13 +68,13 @@
                 self.rest_s *= 1.0 + REST_STEP * REST_QUANTILE
 
     def now(self) -> float:
-        """Return the mean pause in times the one at rest; 1 at rest."""
+        """Return the mean pause as a multiple of that without load, from 1."""
         if self.streams < MIN_STREAMS:
             return 1.0
         return max(self.pause_s() / self.rest_s, 1.0)
 
     def pause_s(self) -> float:
-        """Return the mean pause lately, in seconds; fading while none ends."""
+        """Return the mean pause in seconds, decayed while no event arrives."""
         with self._lock:
             idle_s = self.clock.now() - self.at - self.mean_s
             fading = 0.5 ** (max(idle_s, 0.0) / HALF_LIFE_S)
--- a/lacewingdock/components/gateway/timeouts.py
+++ b/lacewingdock/components/gateway/timeouts.py
@@ -1,4 +1,4 @@
-"""Support for how long an attempt waits for an upstream instance."""
+"""Support for the read timeouts of an attempt at an upstream instance."""
 
 import time
 from dataclasses import dataclass
@@ -6,33 +6,38 @@
 
 from lacewingdock.world.route import Route
 
-# An instance from which nothing at all comes for this many times the goal is
-# taken for down, and another is asked. Where it answers others meanwhile, the
-# request is in its queue: another's is no shorter, so it is left there up to
-# the second figure. Callers give a stream up after four goals.
+# Timeouts for the head of an answer, as multiples of the route's goal. An
+# instance that sends nothing to any request for the first timeout counts as
+# down, and another instance is asked. While it answers other requests, this
+# request is in its queue; queues elsewhere are no shorter, so the request stays
+# there up to the second timeout. Callers abandon a stream after four goals.
 SILENT_GOALS: Final = 1.0
 QUEUED_GOALS: Final = 4.0
-# An answer that is no stream takes its goal or fails; its caller waits less.
+# The second timeout for an answer that is not a stream, as a multiple of the
+# goal: such an answer meets its goal or fails, and its caller waits less.
 QUEUED_GOALS_WHOLE: Final = 2.0
-# The shortest of these waits: a goal of milliseconds is missed by a lost packet
-# that is sent again after 0.2 s, and a second attempt would only add load.
+# Shortest timeout for the head, in seconds. A lost packet is sent again after
+# 0.2 s, which misses a goal of milliseconds; a second attempt would only add
+# load.
 MIN_HEAD_S: Final = 0.3
-# The same between two events, in times the longest pause that is on time. An
-# upstream that ran out of memory interrupts streams, and reads them again.
+# The same two timeouts between two events, as multiples of the longest pause
+# that is on time. An upstream that runs out of memory interrupts streams, and
+# reads their prompts again before it continues them.
 SILENT_GAPS: Final = 1.5
 QUEUED_GAPS: Final = 4.0
-# The shortest wait between two events, for the same reason: two packets lost
-# in a row take 0.6 s.
+# Shortest timeout between two events, in seconds, for the same reason: two
+# packets lost in a row take 0.6 s.
 MIN_GAP_S: Final = 0.9
 
 
 @dataclass(slots=True, frozen=True)
 class ReadTimeout:
-    """How long an attempt waits for the next piece of an answer.
+    """How long an attempt waits for the next part of an answer.
 
     Attributes:
-        silent_s: Seconds, where nothing at all comes from the instance.
-        queued_s: Seconds, where others are answered by it meanwhile.
+        silent_s: Seconds to wait while the instance sends nothing to any
+            request.
+        queued_s: Seconds to wait while the instance answers other requests.
     """
 
     silent_s: float
@@ -41,12 +46,12 @@
 
 @dataclass(slots=True)
 class ReadTimeouts:
-    """How long an attempt waits.
+    """The timeouts of an attempt.
 
     Attributes:
-        head: For the head of the answer, and the first event.
-        gap: Between pieces of the body.
-        end: Monotonic time at which the request is given up.
+        head: Timeout for the head of the answer, and for the first event.
+        gap: Timeout between parts of the body.
+        end: Monotonic deadline of the request.
     """
 
     head: ReadTimeout
@@ -55,12 +60,13 @@
 
 
 def timeouts_of_last_attempt(end: float) -> ReadTimeouts:
-    """Return the patience where no other instance may be asked.
+    """Return the timeouts of an attempt after which no retry is possible.
 
-    Silence is no reason to end such an attempt: the answer may come yet.
+    A silent instance is no reason to end such an attempt: the answer may still
+    arrive before the deadline.
 
     Args:
-        end: Monotonic time at which the request is given up.
+        end: Monotonic deadline of the request.
     """
     left_s = max(end - time.monotonic(), 0.0)
     whole = ReadTimeout(left_s, left_s)
@@ -68,11 +74,11 @@
 
 
 def timeouts_before_retry(route: Route, end: float) -> ReadTimeouts:
-    """Return the patience where another instance may be asked.
+    """Return the timeouts of an attempt that another instance may follow.
 
     Args:
         route: The request's route.
-        end: Monotonic time at which the request is given up.
+        end: Monotonic deadline of the request.
     """
     queued = QUEUED_GOALS if route.streaming else QUEUED_GOALS_WHOLE
     head = ReadTimeout(
