--- a/tests/components/gateway/__init__.py
+++ b/tests/components/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of gateway."""
+"""Tests of the gateway, the callers' port of a router."""
--- a/tests/components/gateway/conftest.py
+++ b/tests/components/gateway/conftest.py
@@ -9,6 +9,7 @@
 
 @pytest.fixture
 def build_harness():
+    """Builds gateways with fake upstreams, and closes the gateways."""
     made = []
 
     def make(*args, **kwargs):
@@ -22,7 +23,7 @@
 
 @pytest.fixture
 def build_one_route():
-    """Builds gateways with one route, and closes them and their upstreams."""
+    """Builds gateways with one route; closes gateways and upstreams."""
     built = []
 
     def build(*upstreams, **changes):
@@ -37,7 +38,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """A clock that moves when it is told to."""
+    """A fake monotonic clock; calling the fixture advances it by seconds."""
     now = [1000.0]
     monkeypatch.setattr(time, "monotonic", lambda: now[0])
 
--- a/tests/components/gateway/fakes.py
+++ b/tests/components/gateway/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes: upstream instances that follow a script, and a gateway before them."""
+"""Scripted fake upstream instances, and a gateway in front of them."""
 
 import contextlib
 import random
@@ -34,7 +34,7 @@
 
 
 def ok(call_id, body=b"done", extra=b"", status=b"200 OK"):
-    """Return a whole sealed answer."""
+    """Return a complete answer with a response seal."""
     return (
         b"HTTP/1.1 "
         + status
@@ -48,7 +48,7 @@
 
 
 def refusal(call_id):
-    """Return an answer that says that the request was not run."""
+    """Return an answer which states that the request was not run."""
     return ok(call_id, b"full", b"Not-Executed: 1\r\n", b"503 Busy")
 
 
@@ -56,7 +56,7 @@
 
 
 def stream_head(call_id, extra=b"", framing=CHUNKED):
-    """Return the head of a stream; without framing it ends by a close."""
+    """Return a stream's head; without framing the stream ends by a close."""
     return (
         b"HTTP/1.1 200 OK\r\nAttempt-Id: "
         + call_id
@@ -68,7 +68,7 @@
 
 
 def event(number):
-    """Return an event as a chunk."""
+    """Return a server-sent event as an HTTP chunk."""
     data = b"id: %d\ndata: e%d\n\n" % (number, number)
     return b"%x\r\n%s\r\n" % (len(data), data)
 
@@ -79,14 +79,19 @@
 class Upstream:
     """An upstream instance that answers requests by a script.
 
-    Each step is a function of (connection, request's id, head); a step that
-    returns False ends the connection.
+    Each step is a function of the socket, the request's id and the request's
+    head; a step that returns False ends the connection. Without a step left,
+    requests are answered with 200.
 
     Attributes:
-        requests: Heads of all requests that came, as text.
-        bodies: Their bodies.
-        connections: Connections accepted.
-        named: Id by which it answers a question whether it lives.
+        steps: Steps for the next requests.
+        requests: Heads of all requests received, as text.
+        bodies: Bodies of these requests.
+        connections: Number of connections accepted.
+        named: Instance id in answers to health checks; empty for none.
+        sock: Listening socket.
+        port: Port of the listening socket.
+        open: Sockets of all connections accepted.
     """
 
     def __init__(self, *steps):
@@ -101,7 +106,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def entry(self, name="i-1", service="svc", **changes):
-        """Return its entry."""
+        """Return the directory entry of the instance."""
         fields = {
             "id": name,
             "service": service,
@@ -117,7 +122,7 @@
     def close(self):
         """Stop listening and end all connections."""
         with contextlib.suppress(OSError):
-            # Closing alone lets a task in `accept` take one more connection.
+            # Closing alone lets a thread in `accept` return once more.
             self.sock.shutdown(socket.SHUT_RDWR)
         for one in [self.sock, *self.open]:
             with contextlib.suppress(OSError):
@@ -140,7 +145,7 @@
             while (found := self._read(sock)) is not None:
                 call_id, head = found
                 if not call_id:
-                    # A question whether it lives is none of the script's.
+                    # Health checks do not use up a step of the script.
                     own_id = b"Instance-Id: " + self.named + b"\r\n"
                     extra = own_id if self.named else b""
                     sock.sendall(ok(b"", b"well", extra))
@@ -163,7 +168,7 @@
 
 
 def read_request(sock):
-    """Return head, headers by lower-case name, and body; None at the end."""
+    """Return head, headers by lower-case name, and body; None at a close."""
     data = b""
     while b"\r\n\r\n" not in data:
         more = sock.recv(65536)
@@ -184,23 +189,23 @@
 
 
 def answer(body=b"done", extra=b"", status=b"200 OK"):
-    """Return a step that answers whole."""
+    """Return a step that sends a complete answer."""
     return lambda sock, call_id, _: sock.sendall(
         ok(call_id, body, extra, status)
     )
 
 
 def refuse():
-    """Return a step that refuses as not run."""
+    """Return a step that refuses the request as not run."""
     return lambda sock, call_id, _: sock.sendall(refusal(call_id))
 
 
 def send(*parts, then="close"):
-    """Return a step that sends parts (functions of the id) and ends.
+    """Return a step that sends parts of an answer and then ends.
 
     Args:
         *parts: Bytes, or functions of the request's id.
-        then: "close", "reset", "silent" or "keep".
+        then: How the step ends: "close", "reset", "silent" or "keep".
     """
 
     def step(sock, call_id, _):
@@ -232,13 +237,20 @@
 
 
 class GatewayHarness:
-    """A gateway before fake upstreams, and callers of it.
+    """A gateway in front of fake upstreams, with a client for requests.
 
     Attributes:
-        directory: The instances.
-        routes: The routing table.
+        host: The router's host profile.
+        directory: The upstream instances.
+        routes: Holds the routing table.
+        published: Losses that were published to the other routers.
+        shifts: Roll-outs under way.
+        suspects: Requests that may be poison requests.
         gateway: The gateway.
-        port: Its callers' port.
+        leaving: Set once the router is to stop.
+        port: The gateway's callers' port.
+        stopping: Set to stop the listener.
+        pool: Threads for the listener and for callers of a test.
     """
 
     def __init__(self, routes, upstreams, limits=None, version=1):
@@ -297,19 +309,19 @@
         return True
 
     def close(self):
-        """End it."""
+        """Stop the listener and its threads."""
         self.stopping.set()
         self.port.listener.close()
         self.pool.shutdown(wait=False)
 
     def connect(self):
-        """Return a caller's socket."""
+        """Return a socket connected to the callers' port."""
         sock = socket.create_connection(self.port.listener.address, 5)
         sock.settimeout(5)
         return sock
 
     def call(self, sock=None, **fields):
-        """Make a request; returns status, headers and body."""
+        """Make a request, and return status, headers and body."""
         sock = sock or self.connect()
         sock.sendall(request(**fields))
         return read_answer(sock)
@@ -325,7 +337,7 @@
     deadline_ms=1500,
     extra="",
 ):
-    """Return a request's bytes."""
+    """Return the bytes of a request."""
     lines = [
         f"{method} {path} HTTP/1.1",
         f"Host: {host}",
@@ -339,7 +351,7 @@
 
 
 def read_answer(sock):
-    """Read one answer whole; a body that ends early raises `EOFError`."""
+    """Read a complete answer; a body that ends early raises `EOFError`."""
     data = b""
     while b"\r\n\r\n" not in data:
         data += _more(sock)
--- a/tests/components/gateway/scripted.py
+++ b/tests/components/gateway/scripted.py
@@ -1,4 +1,4 @@
-"""Instances that answer each request alike, and routes to them."""
+"""Instances that give every request the same answer, and settings of routes."""
 
 import time
 
@@ -20,7 +20,7 @@
 
 
 class RepeatingUpstream(Upstream):
-    """An instance that answers each request alike, and notes when it came."""
+    """An instance with one answer to all requests, and their times."""
 
     def __init__(self, extra=b"", step=None):
         super().__init__()
@@ -43,7 +43,7 @@
 
 
 class InterceptedPool:
-    """A pool of connections to which something happens as one is taken."""
+    """A connection pool with another function for acquiring connections."""
 
     def __init__(self, take, pool):
         self.take = take
--- a/tests/components/gateway/test_answer_news.py
+++ b/tests/components/gateway/test_answer_news.py
@@ -1,4 +1,4 @@
-"""Tests of what the heads of answers say beside the answer itself."""
+"""Tests of the reports on an instance in the heads of its answers."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def lines(monkeypatch):
-    """The lines that the parts of the gateway log."""
+    """The lines that the gateway and its helpers log."""
     found = []
     for name in (
         "components.upstreams.signals",
@@ -34,7 +34,7 @@
 
 
 def served(*steps):
-    """Return the gateway after as many requests as the upstream has steps."""
+    """Return a harness after one request for each step of the upstream."""
     upstream = Upstream(*steps)
     harness = GatewayHarness([route(max_attempts=1)], [upstream])
     try:
@@ -47,53 +47,53 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "believed", "told"),
+    ("values", "limit", "logged"),
     [
         ([b"3"], 3.0, [3.0]),
         ([b"3", b""], 3.0, [3.0]),
         ([b"3", b"2.9"], 2.9, [3.0]),
         ([b"3", b"2"], 2.0, [3.0, 2.0]),
-        # No header ends it, an odd one does not.
+        # A missing header ends the limit, an invalid value does not.
         ([b"3", None], None, [3.0, None]),
         ([b"x", b"-3"], None, []),
         ([b"0"], 0.0, [0.0]),
     ],
 )
-def test_limit_is_told_as_it_changes(lines, words, believed, told):
+def test_limit_is_logged_as_it_changes(lines, values, limit, logged):
     harness = served(
         *(
             answer()
-            if word is None
-            else answer(extra=b"Server-Limit: %s\r\n" % word)
-            for word in words
+            if value is None
+            else answer(extra=b"Server-Limit: %s\r\n" % value)
+            for value in values
         )
     )
-    assert harness.directory.instances["i-1"].limit.own_per_s == believed
+    assert harness.directory.instances["i-1"].limit.own_per_s == limit
     assert [
         fields["per_s"] for message, fields in lines if message == "limit"
-    ] == told
+    ] == logged
 
 
 @pytest.mark.parametrize(
     "step",
     [
-        # It has not run, so it says nothing of what the instance bears.
+        # A refusal does not show which load the instance can take.
         answer(extra=b"Not-Executed: 1\r\n", status=b"503 Busy"),
-        # Another one lives at the address.
+        # Another instance answers at the address.
         answer(extra=b"Instance-Id: i-9\r\n"),
     ],
 )
-def test_answer_that_is_not_the_instances_own_ends_no_limit(step):
+def test_refusal_or_other_instances_answer_ends_no_limit(step):
     harness = served(answer(extra=b"Server-Limit: 3\r\n"), step)
     [signals] = harness.directory.signals.known.values()
     assert signals.limit.own_per_s == 3.0
 
 
-def test_answer_that_was_overtaken_ends_no_limit():
-    """Symptom: a limit is forgotten in the moment in which it is named.
+def test_late_answer_ends_no_limit():
+    """Guards against a rate limit that is dropped as soon as it is reported.
 
-    Sequence: a request is sent, another one is answered with a limit, and the
-    first one's answer, which left before, comes after it.
+    A request is sent; another one is answered with a limit; then the answer to
+    the first one arrives, which was sent before the limit applied.
     """
     harness = served(answer(extra=b"Server-Limit: 3\r\n"), answer())
     instance = harness.directory.instances["i-1"]
@@ -107,11 +107,11 @@
 
 
 def good_head(**fields):
-    """Return the head of a good answer."""
+    """Return the head of a successful answer."""
     return AnswerHead(200, [], sealed=True, **fields)
 
 
-def test_unknown_header_is_told_once(lines):
+def test_unknown_header_is_logged_once(lines):
     harness = served(
         answer(extra=b"Server-Mood: poor\r\n"),
         answer(extra=b"Server-Mood: good\r\n"),
@@ -125,31 +125,38 @@
     ]
 
 
-def test_attempt_tells_what_its_instance_says_of_itself(lines):
-    """Guards against: nobody can tell what an instance asked for.
+def test_attempt_logs_what_its_instance_reports(lines):
+    """Guards against logs that hide a backoff which an instance asked for.
 
-    Symptom: an instance that had asked for rest got request after request,
-    and the lines of these attempts said that it refused.
+    An instance that had sent Retry-After got request after request, and the log
+    lines of these attempts only said that it refused.
     """
     busy = {"status": b"503 Busy", "extra": b"Retry-After: 0.01\r\n"}
     served(answer(**busy), answer(extra=b"Server-Leaving: 1\r\n"))
-    told = [fields for message, fields in lines if message == "attempt"]
+    logged = [fields for message, fields in lines if message == "attempt"]
     assert [
-        (one["status"], one["says_rest_s"], one["says_leaving"]) for one in told
+        (one["status"], one["says_rest_s"], one["says_leaving"])
+        for one in logged
     ] == [(503, 0.01, False), (200, None, True)]
 
 
-def test_value_that_can_not_be_read_is_told_once(lines):
+def test_invalid_value_is_logged_once(lines):
     harness = served(
         answer(extra=b"Server-Leaving: soon\r\n"),
         answer(extra=b"Server-Leaving: now\r\n"),
     )
     assert harness.gateway.odd_values.counts() == {"server-leaving": 2}
-    [told] = [fields for message, fields in lines if message == "unknown name"]
-    assert told == {"where": "value", "name": "server-leaving", "source": "i-1"}
+    [logged] = [
+        fields for message, fields in lines if message == "unknown name"
+    ]
+    assert logged == {
+        "where": "value",
+        "name": "server-leaving",
+        "source": "i-1",
+    }
 
 
-def test_ever_new_names_do_not_fill_the_memory(lines):
+def test_number_of_unknown_names_is_bounded(lines):
     found = UnknownNames("answer")
     found.met("i-1", [f"x-{number}" for number in range(1000)])
     assert len(found.counts()) == MAX_NAMES + 1
--- a/tests/components/gateway/test_at_most_once.py
+++ b/tests/components/gateway/test_at_most_once.py
@@ -1,9 +1,9 @@
-"""Tests that a request is written once, and what its caller is told.
+"""Tests that a request is sent at most once, and of the answer to its caller.
 
-Symptom: a booking lands twice. A kept connection to the upstream dies before
-the first byte of the answer; the upstream has run the request, and the client
-library sends it again on a new connection by itself (libcurl does). Cause: it
-takes a dead kept connection for proof that nothing was run.
+Guards against a booking that is made twice. A reused connection to the
+upstream dies before the first byte of the answer, after the upstream has run
+the request. A client library that takes this for proof that nothing was run
+sends the request again on a new connection by itself, as libcurl does.
 """
 
 import pycurl
@@ -23,11 +23,11 @@
 
 
 def half_body(call_id):
-    """Return an answer that breaks off in its body."""
+    """Return an answer whose body is cut short."""
     return ok(call_id, b"whole body")[:-4]
 
 
-# What the upstream does with the request, and whether it says it did not run.
+# Steps of an upstream after which it is unknown whether the request ran.
 RESPONSES = {
     "close before the answer": send(then="close"),
     "reset before the answer": send(then="reset"),
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize(
     ("attempts", "status", "sent"), [(1, 503, 1), (3, 200, 2)]
 )
-def test_refusal_of_the_upstream_is_the_only_proof(
+def test_only_a_refusal_of_the_upstream_proves_not_run(
     build_harness, attempts, status, sent
 ):
     upstreams = [Upstream(refuse()), Upstream()]
@@ -110,10 +110,11 @@
 
 
 def test_no_refusal_once_an_attempt_may_have_run(build_harness):
-    """Symptom: a caller is told "not run" of a request that ran.
+    """Guards against a refusal as "not run" of a request that ran.
 
-    The instance runs it, breaks off and is gone; no other one is there.
-    Cause: the lack of an instance was answered as if nothing had been sent.
+    The instance runs the request, closes the connection and is removed, and
+    there is no other instance. The lack of an instance must not be answered as
+    if nothing had been sent.
     """
     build_one_route = []
 
@@ -134,11 +135,11 @@
     assert (status, headers["response-seal"], body) == (500, "s", b"why")
 
 
-def test_second_answer_is_told_by_its_id(build_harness):
-    """Symptom: a caller gets the answer to another caller's request.
+def test_late_second_answer_is_discarded_by_its_id(build_harness):
+    """Guards against an answer to another caller's request.
 
-    An upstream sends a second answer to an earlier request late, where the
-    next one's answer is due. Cause: the answer was not matched by its id.
+    An upstream sends a late second answer to an earlier request, where the
+    answer to the next one is due. Answers must be matched by their ids.
     """
     late = send(lambda i: ok(i), then="keep")
     second = send(
@@ -150,7 +151,7 @@
     assert harness.call(sock, call_id="c-1")[2] == b"mine"
 
 
-def test_bytes_after_an_answer_spoil_the_connection(build_harness):
+def test_connection_with_extra_bytes_is_not_reused(build_harness):
     extra = send(lambda i: ok(i) + ok(i, b"again"), then="keep")
     upstream = Upstream(extra, answer(b"mine"))
     harness = build_harness([route(Repeat.ONCE)], [upstream])
@@ -159,7 +160,7 @@
     assert upstream.connections == 2
 
 
-def test_headers_that_are_the_routers_to_set(build_harness):
+def test_callers_cannot_set_the_routers_headers(build_harness):
     upstream = Upstream()
     harness = build_harness([route()], [upstream])
     extra = (
@@ -193,7 +194,7 @@
 
 
 def test_why_libcurl_is_not_used_here():
-    """It sends a request again where the kept connection was closed on it."""
+    """The library sends a request again when a reused connection closes."""
     once = Upstream(answer(), send(then="close"), answer())
     curl = pycurl.Curl()
     curl.setopt(pycurl.URL, f"http://127.0.0.1:{once.port}/")
--- a/tests/components/gateway/test_bad_input.py
+++ b/tests/components/gateway/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Tests of what callers may send: coded errors, never a crash."""
+"""Tests of invalid requests, which must get an error with a code."""
 
 import pytest
 
--- a/tests/components/gateway/test_budget.py
+++ b/tests/components/gateway/test_budget.py
@@ -10,7 +10,7 @@
 
 
 def daemon_of(routers, bounds):
-    """Return a router's daemon that knows of that many routers."""
+    """Return a router's daemon in a fleet of a number of routers."""
     host = HostProfile(
         instance="r-0",
         failure_domain="d",
@@ -32,11 +32,12 @@
 
 @pytest.mark.parametrize("routers", [1, 4, 5, 27, 300])
 @pytest.mark.parametrize("rate", [0, 1, 20, 100])
-def test_sum_over_the_fleet(routers, rate):
-    """Symptom: a fleet of thirty makes several times the retries allowed.
+def test_retries_of_the_fleet_stay_within_the_bound(routers, rate):
+    """Guards against a large fleet that exceeds the bound on retries.
 
-    Cause: each router saved up the part of one in six, however many there
-    were. The worst span begins with all saved up, and all retry as they can.
+    Each router saved up the share of one in six, so that a fleet of thirty made
+    several times the retries allowed. In the worst window all budgets are full
+    at its start, and every router retries whenever it can.
     """
     bounds = Bounds(retry_ratio=0.9, retry_extra=52.0, retry_window_s=10.0)
     daemon = daemon_of(routers, bounds)
@@ -58,9 +59,9 @@
 
 
 def test_changed_settings_change_the_budget():
-    """Symptom: a lowered share of retries holds only after a restart.
+    """Guards against a lower retry ratio that applies only after a restart.
 
-    Cause: each budget kept the share that it was created with.
+    Each budget kept the ratio with which it was created.
     """
     daemon = daemon_of(6, Bounds(retry_ratio=0.9, retry_extra=60.0))
     budget = daemon.gateway.budget("svc")
@@ -77,16 +78,16 @@
     taken = 0
     while budget.take():
         taken += 1
-    # 24 besides for six routers, of which it may take 0.85 each.
+    # 24 extra retries for six routers, of each of which it may take 0.85.
     assert taken == 3
 
 
 @pytest.mark.parametrize("routers", [1, 27, 300])
 def test_large_fleets_can_ask_a_larger_model(routers):
-    """Symptom: in a fleet of thirty every request goes to the largest model.
+    """Guards against large fleets that ask only the largest model.
 
-    Cause: a router's part of the saved retries was under the reserve that a
-    cascade asks for, whatever its traffic.
+    In a fleet of thirty a router's share of the saved retries was below the
+    reserve that a cascade needs, whatever its traffic.
     """
     daemon = daemon_of(routers, Bounds(retry_ratio=0.9, retry_extra=52.0))
     budget = daemon.gateway.budget("svc")
--- a/tests/components/gateway/test_cold_instances.py
+++ b/tests/components/gateway/test_cold_instances.py
@@ -14,7 +14,7 @@
     route,
 )
 
-# Three requests a second: a turn each 0.37 s.
+# A cold instance accepts three requests a second: a turn every 0.37 s.
 COLD = ServiceLimits("svc", cold_start_s=3.0, cold_per_s=3.0)
 
 
@@ -27,7 +27,7 @@
 
 
 def cold_harness(upstream, *, cold_s, has_share=True, goal_s=2.0, **changes):
-    """Return a gateway whose one instance is cold."""
+    """Return a harness whose only instance is cold."""
     found = GatewayHarness([route(goal_s=goal_s, **changes)], [upstream])
     found.gateway.chooser.pacer = Pacer(
         "me",
@@ -59,18 +59,18 @@
 @pytest.mark.parametrize(
     ("goal_s", "has_share", "least_s", "most_s"),
     [
-        # The next turn comes after what its goal leaves.
+        # The next turn comes after the time that the goal allows for waiting.
         (0.2, True, 0.25, 1.0),
-        # None comes here at all: when the instance is warm.
+        # This router has no share of the turns until the instance is warm.
         (2.0, False, 2.5, 4.6),
     ],
 )
 def test_request_without_a_turn_is_refused_at_once(
     goal_s, has_share, least_s, most_s
 ):
-    """Symptom: callers wait out their time where nothing can be served.
+    """Guards against callers that time out where no request can be served.
 
-    Cause: they were held until the instance was warm.
+    Requests without a turn in time were held until the instance was warm.
     """
     upstream = Upstream()
     harness = cold_harness(
@@ -90,8 +90,8 @@
 
 
 @pytest.mark.parametrize(("priority", "status"), [(0, 200), (9, 503)])
-def test_urgent_requests_wait_longer(priority, status):
-    """Symptom: what is least urgent takes the few turns there are."""
+def test_high_priority_requests_wait_longer(priority, status):
+    """Guards against requests of low priority that take the few turns."""
     upstream = Upstream()
     harness = cold_harness(upstream, cold_s=9.0, priority=priority)
     try:
@@ -107,7 +107,7 @@
     harness = cold_harness(upstream, cold_s=9.0)
     try:
         assert harness.call()[0] == 200
-        harness.pool.submit(_leave, harness)
+        harness.pool.submit(_cordon_soon, harness)
         assert harness.call()[0] == 503
         assert len(upstream.requests) == 1
     finally:
@@ -116,15 +116,16 @@
         other.close()
 
 
-def _leave(harness):
+def _cordon_soon(harness):
     time.sleep(0.1)
     harness.directory.cordon(frozenset({"d1"}))
 
 
-def test_instance_that_took_no_connection_may_be_cold():
-    """Symptom: instances that were cut off come back cold, and crash.
+def test_instance_that_refused_a_connection_may_be_cold():
+    """Guards against overloading an instance that was cut off and came back.
 
-    Cause: they keep their ids, and their entries say it two seconds later.
+    Such an instance may be cold and would crash, but it keeps its id, and its
+    entry reports the cold start two seconds late.
     """
     upstream = Upstream()
     upstream.close()
@@ -138,11 +139,11 @@
 
 
 def test_request_that_may_have_run_waits_for_as_long_as_it_can():
-    """Symptom: requests fail though turns would have come in time.
+    """Guards against requests that fail although a turn comes in time.
 
-    Sequence: a smaller model is unsure, and all instances turn cold before
-    the larger one is asked. Cause: it waited for a part of its goal only, and
-    what was sent once can't be refused truly.
+    A smaller model is unsure, and all instances turn cold before the larger one
+    is asked. The request waited only for a part of its goal; but a request that
+    was sent once can't be refused as not run.
     """
     unsure = answer(extra=b"Confidence: 5\r\n" + EVENTS)
 
@@ -163,9 +164,9 @@
 
 @pytest.mark.parametrize(("cold_s", "model"), [(0.0, "small"), (9.0, "large")])
 def test_cold_instances_are_asked_for_the_largest_model_at_once(cold_s, model):
-    """Symptom: half of the turns at cold instances give no answer.
+    """Guards against half of the turns at cold instances giving no answer.
 
-    Cause: a smaller model was asked first, which takes a turn of its own.
+    Asking a smaller model first takes a turn of its own.
     """
     upstream = Upstream(answer(b"id: 1\ndata: x\n\n", EVENTS))
     harness = cold_harness(upstream, cold_s=cold_s, **STREAM)
--- a/tests/components/gateway/test_confidence_threshold.py
+++ b/tests/components/gateway/test_confidence_threshold.py
@@ -1,4 +1,4 @@
-"""Tests of how sure a smaller model must be of its answer."""
+"""Tests of the confidence that a smaller model's answer must reach."""
 
 import pytest
 
@@ -21,14 +21,14 @@
         (9.0, 0.0, 0.0),
     ],
 )
-def test_confidence_bends_between_two_parts_of_the_goal(clock, part, low, high):
+def test_required_confidence_falls_with_lateness(clock, part, low, high):
     pressure = Pressure()
     for _ in range(60):
         pressure.add(part)
     assert low <= pressure.required_confidence() / CONFIDENCE_ENOUGH <= high
 
 
-def test_one_late_answer_does_not_speak_for_all(clock):
+def test_one_late_answer_has_a_bounded_effect(clock):
     pressure = Pressure()
     for _ in range(60):
         pressure.add(0.1)
--- a/tests/components/gateway/test_leaving_instances.py
+++ b/tests/components/gateway/test_leaving_instances.py
@@ -1,4 +1,4 @@
-"""Tests of requests to instances that say that they leave."""
+"""Tests of requests to instances that announce a planned stop."""
 
 import pytest
 
@@ -30,23 +30,23 @@
         (answer(extra=LEAVES + b"Connection: close\r\n"), {}),
         (answer(extra=LEAVES + b"Not-Executed: 1\r\n", status=b"503 Busy"), {}),
         (streamed(LEAVES), STREAM),
-        # The small model is unsure: the answer is dropped, its word counts.
+        # The unsure answer is discarded, but its headers count.
         (streamed(LEAVES + b"Confidence: 3\r\n"), STREAM),
     ],
 )
 def test_router_leaves_an_instance_that_says_that_it_leaves(
     build_one_route, step, changes
 ):
-    """Guards against: work for an instance that is about to exit.
+    """Guards against requests to an instance that is about to exit.
 
-    Symptom: requests 2.5 s after an answer that said it; the store was away,
-    so its entry could not. Cause: the word was passed on to the callers, and
-    not read.
+    An instance got requests 2.5 s after an answer with Server-Leaving. The
+    store was unavailable, so the instance's entry could not change, and the
+    header was passed on to the callers without being read.
     """
     other = RepeatingUpstream(step=streamed() if changes == STREAM else None)
     leaving = RepeatingUpstream(step=step)
     harness = build_one_route(leaving, other, **changes)
-    # It is what looks idle.
+    # The instance under test has the lowest load.
     harness.directory.instances["i-2"].running = 50
     extra = "Model: *\r\n" if changes == STREAM else ""
     harness.call(extra=extra)
@@ -57,10 +57,10 @@
 
 
 def test_request_is_not_sent_where_the_word_came_first(build_one_route):
-    """Guards against: requests chosen before the word that are sent after it.
+    """Guards against a race between choosing an instance and its leaving.
 
-    Sequence: an instance is chosen; a connection to it takes a while; another
-    request's answer says that it leaves.
+    An instance is chosen; while a connection to it is opened, the answer to
+    another request reports that the instance leaves.
     """
     leaving, other = RepeatingUpstream(), RepeatingUpstream()
     harness = build_one_route(leaving, other)
@@ -78,7 +78,7 @@
     assert harness.call()[0] == 200
     assert (len(leaving.times), len(other.times)) == (0, 1)
     assert harness.directory.instances["i-1"].running == 0
-    # It is no failure of the instance's, and counts as no attempt.
+    # A withheld request is neither a failure of the instance nor an attempt.
     assert harness.directory.instances["i-1"].failures == 0
 
 
--- a/tests/components/gateway/test_limited_instances.py
+++ b/tests/components/gateway/test_limited_instances.py
@@ -1,4 +1,4 @@
-"""Tests of requests to instances that name a limit."""
+"""Tests of requests to instances that name a rate limit."""
 
 import time
 
@@ -27,7 +27,7 @@
         (answer(extra=LIMIT_ONE), {}),
         (answer(extra=LIMIT_ONE), {"repeat": Repeat.ONCE}),
         (answer(extra=LIMIT_ONE, status=b"500 Error"), {}),
-        # Refused as full: it asks for less all the more.
+        # A refusal for lack of capacity must set the limit as well.
         (
             answer(
                 extra=LIMIT_ONE + b"Not-Executed: 1\r\n", status=b"503 Busy"
@@ -35,22 +35,22 @@
             {},
         ),
         (streamed(LIMIT_ONE), STREAM),
-        # The small model is unsure: the answer is dropped, its word counts.
+        # The unsure answer is discarded, but its headers count.
         (streamed(LIMIT_ONE + b"Confidence: 3\r\n"), STREAM),
     ],
 )
 def test_router_keeps_to_the_limit_of_an_instance(
     build_one_route, step, changes
 ):
-    """Guards against: a router that sends on to an instance in need.
+    """Guards against exceeding the rate limit that an instance names.
 
-    Symptom: 30 requests in 4 s where it names one a second. Cause: the word
-    was passed on to the callers, and not read.
+    An instance got 30 requests in 4 s where it named a limit of one a second:
+    the header was passed on to the callers without being read.
     """
     other = RepeatingUpstream(step=streamed() if changes == STREAM else None)
     limited = RepeatingUpstream(step=step)
     harness = build_one_route(limited, other, **changes)
-    # It is what looks idle.
+    # The instance under test has the lowest load.
     harness.directory.instances["i-2"].running = 50
     extra = "Model: *\r\n" if changes == STREAM else ""
     assert harness.call(extra=extra)[0] == 200 or changes == {
@@ -61,7 +61,7 @@
     time.sleep(0.5)
     for number in range(30):
         harness.call(call_id=f"c-{number}", extra=extra)
-    # One and a half times what it names, and five more.
+    # At most one and a half times the limit over 4 s, and five more.
     assert len(limited.times) - first <= 1.5 * 4 * 1 + 5
     assert len(other.times) >= 30 - (1.5 * 4 * 1 + 5)
 
@@ -69,10 +69,10 @@
 def test_requests_are_served_up_to_the_limit_and_the_rest_refused(
     build_one_route,
 ):
-    """Guards against: callers wait out their time at an instance in need.
+    """Guards against callers that time out at rate-limited instances.
 
-    Sequence: all instances of a service name a limit. Who can't be served
-    within the goal is told at once that it has not run, and when to come back.
+    All instances of a service name a limit. A request that can't be served
+    within its goal is refused at once as not run, with a Retry-After.
     """
     limited = RepeatingUpstream(b"Server-Limit: 2\r\n")
     harness = build_one_route(limited, goal_s=0.4)
@@ -83,16 +83,16 @@
     assert served + len(refused) == 12
     assert served == len(limited.times) >= 2
     assert refused
-    # At 2 a second the next turn is at most 0.6 s away, and callers that are
-    # refused together come back one after the other.
+    # At 2 a second the next turn is at most 0.6 s away, and the random factor
+    # on Retry-After spreads callers that are refused together.
     for headers in refused:
         assert 0.25 <= float(headers["retry-after"]) <= 0.6 * 1.5
     assert time.monotonic() - start < 12 * 0.4
 
 
 @pytest.mark.parametrize(("priority", "least"), [(0, 3), (9, 1)])
-def test_urgent_requests_get_the_few_turns(build_one_route, priority, least):
-    """Guards against: what is least urgent takes the few turns there are."""
+def test_high_priority_requests_get_the_turns(build_one_route, priority, least):
+    """Guards against requests of low priority that take the few turns."""
     limited = RepeatingUpstream(b"Server-Limit: 3\r\n")
     harness = build_one_route(limited, goal_s=1.0, priority=priority)
     served = sum(harness.call(call_id=f"c-{n}")[0] == 200 for n in range(4))
@@ -100,8 +100,8 @@
     assert (served == 4) is (priority == 0)
 
 
-def test_limit_that_is_no_longer_named_is_over(build_one_route):
-    """Guards against: an instance that is shunned for good."""
+def test_limit_ends_with_its_header(build_one_route):
+    """Guards against a rate limit that outlasts its header."""
     limited = RepeatingUpstream(LIMIT_ONE)
     harness = build_one_route(limited, timeout_s=5.0, goal_s=4.0)
     assert harness.call(deadline_ms=5000)[0] == 200
@@ -113,7 +113,7 @@
     assert time.monotonic() - start < 1.0
 
 
-def test_odd_limit_neither_holds_back_nor_opens(build_one_route):
+def test_invalid_limit_is_ignored(build_one_route):
     limited = RepeatingUpstream(b"Server-Limit: 1e308\r\n")
     harness = build_one_route(limited)
     for number in range(10):
@@ -128,17 +128,17 @@
 def test_a_turn_at_a_limited_instance_is_not_spent_on_a_guess(
     build_one_route, per_s, model
 ):
-    """Guards against: half of the few turns go to answers that are dropped.
+    """Guards against spending turns on answers that are discarded.
 
-    Symptom: of 34 requests that an instance in need got, 18 were turned down
-    as unsure, and asked anew of the largest model elsewhere. Cause: what costs
-    little time costs as much of a limit as any other.
+    Of 34 requests that a rate-limited instance got, 18 were discarded as
+    unsure and sent to the largest model elsewhere. A request to a small model
+    is quick, but counts as much towards the limit as any other.
     """
     instance = RepeatingUpstream(step=streamed())
     harness = build_one_route(
         instance, RepeatingUpstream(step=streamed()), **STREAM
     )
-    # It is what looks idle.
+    # The instance under test has the lowest load.
     harness.directory.instances["i-2"].running = 50
     limit = harness.directory.instances["i-1"].limit
     limit.own_per_s, limit.named_at = per_s, time.monotonic()
@@ -151,7 +151,7 @@
 def test_stream_goes_on_with_its_own_model_at_a_limited_instance(
     build_one_route,
 ):
-    """Guards against: an answer whose pieces are of two models."""
+    """Guards against a stream whose parts come from two models."""
     broken = RepeatingUpstream(
         step=send(
             lambda call_id: stream_head(call_id, b"Confidence: 90\r\n"),
--- a/tests/components/gateway/test_replaced.py
+++ b/tests/components/gateway/test_replaced.py
@@ -1,4 +1,4 @@
-"""Tests of requests that meet another instance at an address."""
+"""Tests of requests that reach another instance at a stale address."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def other_answers(name="i-new"):
-    """Return a step in which another instance turns the request away."""
+    """Return a step in which another instance refuses the request."""
     extra = f"Not-Executed: 1\r\nInstance-Id: {name}\r\n".encode()
     status = b"421 Misdirected Request"
     return lambda sock, call_id, _: sock.sendall(
@@ -22,17 +22,17 @@
 
 
 @pytest.mark.parametrize("repeat", list(Repeat))
-def test_dead_starts_use_up_no_attempts(repeat):
-    """Symptom: a request is refused though an instance has free places.
+def test_dead_incarnations_use_up_no_attempts(repeat):
+    """Guards against refusing a request while an instance has free slots.
 
-    Sequence: power was lost; five of six entries are those of dead starts, at
-    whose addresses others answer. Cause: each answer counted as an attempt,
-    of which a request has two or three.
+    After a power loss five of six entries belong to dead incarnations, and
+    other instances answer at their addresses. None of these answers may count
+    as one of the request's two or three attempts.
     """
     dead = [Upstream(*[other_answers()] * 3) for _ in range(5)]
     alive = Upstream()
     harness = GatewayHarness([route(repeat)], [*dead, alive])
-    # Busy, so that the dead ones come first.
+    # The live instance is busy, so that the dead entries are chosen first.
     harness.directory.instances["i-6"].running = 3
     try:
         for number in range(3):
@@ -50,13 +50,13 @@
 @pytest.mark.parametrize(
     "step",
     [
-        # Of itself: it lacks the model, for one.
+        # The instance's own refusal, such as for a missing model.
         other_answers("i-1"),
-        # Nobody says who answers.
+        # The answer names no instance.
         answer(b"", b"Not-Executed: 1\r\n", b"421 Misdirected Request"),
     ],
 )
-def test_instance_that_turns_a_request_away_itself_stays(step):
+def test_instance_that_refuses_a_request_itself_stays(step):
     upstream = Upstream(step)
     harness = GatewayHarness([route()], [upstream])
     try:
@@ -68,8 +68,8 @@
         upstream.close()
 
 
-def test_nothing_left_is_a_true_refusal():
-    """The caller learns at once that it was not run, and when to come back."""
+def test_no_instance_left_is_a_refusal_as_not_run():
+    """The caller gets an immediate refusal as not run, with Retry-After."""
     upstream = Upstream(other_answers())
     harness = GatewayHarness([route(Repeat.ONCE)], [upstream])
     try:
--- a/tests/components/gateway/test_resting_instances.py
+++ b/tests/components/gateway/test_resting_instances.py
@@ -1,4 +1,4 @@
-"""Tests of requests to instances that asked for rest."""
+"""Tests of requests to instances that asked for a backoff by Retry-After."""
 
 import time
 
@@ -31,22 +31,22 @@
     [
         (answer(extra=REST + NOT_RUN, status=BUSY), {}),
         (answer(extra=REST + NOT_RUN, status=BUSY), {"repeat": Repeat.ONCE}),
-        # It does not say that it did not run the request.
+        # The answer does not state that the request was not run.
         (answer(extra=REST, status=BUSY), {}),
         (answer(extra=REST + NOT_RUN, status=BUSY), STREAM),
     ],
 )
 def test_router_leaves_an_instance_its_rest(build_one_route, step, changes):
-    """Guards against: an instance that turns all away gets them all the same.
+    """Guards against requests to an instance during its Retry-After.
 
-    Symptom: eight requests in the 3 s that an instance had asked for; two may
-    come. Sequence: it refuses at once, so it has nothing to do, and looks
-    idle. Cause: the time that it asked for was not read.
+    An instance got eight requests in the 3 s of its Retry-After, where two are
+    allowed. It refuses at once, so it has no requests running and seems idle;
+    the header had not been read.
     """
     other = RepeatingUpstream(step=streamed() if changes == STREAM else None)
     resting = RepeatingUpstream(step=step)
     harness = build_one_route(resting, other, **changes)
-    # It is what looks idle.
+    # The instance under test has the lowest load.
     harness.directory.instances["i-2"].running = 50
     extra = "Model: *\r\n" if changes == STREAM else ""
     harness.call(extra=extra)
@@ -56,13 +56,13 @@
     assert len(resting.times) == 1
 
 
-def test_rest_is_over_after_its_time(build_one_route):
-    """Guards against: an instance that is shunned for good."""
+def test_requests_are_sent_after_the_backoff(build_one_route):
+    """Guards against an instance that gets no requests after its backoff."""
     resting = RepeatingUpstream(step=answer(extra=SHORT + NOT_RUN, status=BUSY))
     harness = build_one_route(resting, goal_s=1.0, max_attempts=1, priority=0)
     assert harness.call()[0] == 503
     resting.step = answer()
-    # It waits for the end of the rest, which is near.
+    # The request waits for the end of the backoff, which is near.
     assert harness.call()[0] == 200
     assert resting.times[-1] - resting.times[0] >= 0.3
     start = time.monotonic()
@@ -72,10 +72,11 @@
 
 
 def test_where_all_rest_a_request_is_refused_at_once(build_one_route):
-    """Guards against: callers wait, or come back, while all instances rest.
+    """Guards against callers that wait or retry while all instances back off.
 
-    Who can't be served within the goal is told at once that it has not run,
-    and when the first instance wants requests again; all at different times.
+    A request that can't be served within its goal is refused at once as not
+    run. Its Retry-After covers the earliest end of a backoff, and differs from
+    caller to caller.
     """
     upstreams = [
         RepeatingUpstream(step=answer(extra=REST + NOT_RUN, status=BUSY)),
@@ -88,14 +89,16 @@
     found = [harness.call(call_id=f"c-{number}") for number in range(8)]
     assert time.monotonic() - start < 1.0
     assert [len(one.times) for one in upstreams] == [1, 1]
-    told = [float(headers["retry-after"]) for _, headers, _ in found[1:]]
+    retry_after_s = [
+        float(headers["retry-after"]) for _, headers, _ in found[1:]
+    ]
     assert [status for status, _, _ in found[1:]] == [503] * 7
-    assert all(2.0 <= one <= 3.0 * 1.25 * 1.5 for one in told)
-    assert len(set(told)) > 1
+    assert all(2.0 <= one <= 3.0 * 1.25 * 1.5 for one in retry_after_s)
+    assert len(set(retry_after_s)) > 1
 
 
 def test_last_refusal_tells_when_the_first_instance_is_back(build_one_route):
-    """Guards against: a caller that is sent back into the rest of all."""
+    """Guards against a Retry-After that ends while all instances back off."""
     resting = RepeatingUpstream(step=answer(extra=REST + NOT_RUN, status=BUSY))
     harness = build_one_route(resting, max_attempts=1)
     status, headers, _ = harness.call()
@@ -103,13 +106,15 @@
     assert 2.0 <= float(headers["retry-after"]) <= 3.0 * 1.25 * 1.5
 
 
-def test_request_that_may_have_run_waits_for_the_end_of_a_rest(build_one_route):
-    """Guards against: a 502 where there was time for another attempt."""
+def test_request_that_may_have_run_waits_for_the_end_of_a_backoff(
+    build_one_route,
+):
+    """Guards against a 502 where there was time for another attempt."""
     broken, resting = Upstream(), RepeatingUpstream()
     harness = build_one_route(broken, resting, timeout_s=3.0)
 
     def leave(*_):
-        """The first instance ends the connection, and leaves."""
+        """Close the connection, and report the first instance as leaving."""
         signals = harness.directory.instances["i-1"].signals
         signals.leaving_since = time.monotonic()
         return False
@@ -121,8 +126,8 @@
     assert len(resting.times) == 1
 
 
-def test_session_and_stream_that_go_on_leave_it_its_rest(build_one_route):
-    """Guards against: a resumed stream that goes where all are turned away."""
+def test_resumed_stream_respects_the_backoff(build_one_route):
+    """Guards against resuming a stream at an instance in its backoff."""
     broken = Upstream(send(stream_head, event(1)))
     resting = RepeatingUpstream(step=streamed())
     other = RepeatingUpstream(
@@ -141,8 +146,8 @@
 @pytest.mark.parametrize(
     "value", [b"", b"-3", b"1e308", b"soon", b"0", b"9" * 40]
 )
-def test_odd_rest_is_no_rest(build_one_route, value):
-    """Guards against: an instance that rests for ever, or a fault."""
+def test_invalid_retry_after_is_ignored(build_one_route, value):
+    """Guards against an endless backoff, or a crash, by an invalid value."""
     odd = RepeatingUpstream(
         step=answer(extra=b"Retry-After: " + value + b"\r\n", status=BUSY)
     )
--- a/tests/components/gateway/test_streams.py
+++ b/tests/components/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Tests of streams: resumed, cut at whole events, visibly broken off."""
+"""Tests of streams that are resumed at another instance or broken off."""
 
 import pytest
 
@@ -20,17 +20,18 @@
 
 
 def stream(*numbers, then="keep", end=END, extra=b""):
-    """Return a step that sends events."""
+    """Return a step that streams events."""
     parts = [event(number) for number in numbers]
     return send(lambda i: stream_head(i, extra), *parts, end, then=then)
 
 
 def streaming(repeat=Repeat.RESUMABLE, **changes):
+    """Return a route of streams."""
     return route(repeat, streaming=True, gap_s=0.1, **changes)
 
 
-def add(harness, upstream, name="i-2"):
-    """Add an instance that is asked after the first."""
+def make_remote(harness, upstream, name="i-2"):
+    """Move an instance to a remote domain, so that the first is preferred."""
     harness.directory.take(upstream.entry(name, failure_domain="d2"))
 
 
@@ -49,14 +50,15 @@
 
 @pytest.mark.parametrize("cut", CUTS)
 def test_stream_goes_on_at_another_instance(build_harness, cut):
-    """Symptom: a draft stops in the middle, or an event comes twice.
+    """Guards against streams that stop in the middle or repeat an event.
 
-    The instance crashes, falls silent or sends wrong bytes after some events.
-    Cause: the rest was not asked for elsewhere from the last whole event on.
+    The instance crashes, falls silent or sends invalid bytes after some events.
+    The rest must be requested from another instance, starting after the last
+    complete event.
     """
     first, second = Upstream(CUTS[cut]), Upstream(stream(2, 3))
     harness = build_harness([streaming()], [first, second])
-    add(harness, second)
+    make_remote(harness, second)
     status, headers, body = harness.call(deadline_ms=3000)
     assert (status, body) == (200, WHOLE)
     assert headers["response-seal"] == "s"
@@ -64,22 +66,22 @@
 
 
 @pytest.mark.parametrize("cut", CUTS)
-def test_stream_that_may_run_once_is_visibly_not_whole(build_harness, cut):
+def test_stream_that_may_run_once_is_reset(build_harness, cut):
     first, second = Upstream(CUTS[cut]), Upstream(stream(2, 3))
     harness = build_harness(
         [streaming(Repeat.ONCE, timeout_s=0.6)], [first, second]
     )
-    add(harness, second)
+    make_remote(harness, second)
     with pytest.raises((EOFError, ConnectionError)):
         harness.call()
     assert second.requests == []
 
 
-def test_stream_refused_elsewhere_is_visibly_not_whole(build_harness):
+def test_stream_that_fails_elsewhere_is_reset(build_harness):
     first = Upstream(CUTS["closed"])
     second = Upstream(answer(b"why", status=b"500 Oops"))
     harness = build_harness([streaming(max_attempts=2)], [first, second])
-    add(harness, second)
+    make_remote(harness, second)
     with pytest.raises((EOFError, ConnectionError)):
         harness.call()
 
@@ -98,7 +100,7 @@
     harness = build_harness(
         [streaming(models=("s", "m", "l"))], [first, second]
     )
-    add(harness, second)
+    make_remote(harness, second)
     status, _, body = harness.call(extra="Model: *\r\n", deadline_ms=3000)
     assert (status, body) == (200, WHOLE)
     requests = first.requests + second.requests
@@ -110,17 +112,17 @@
     ] == ["model: s", "model: l"][:asked]
 
 
-def test_larger_model_is_no_attempt_too_many(build_harness):
-    """Symptom: a request runs on four instances where three are allowed.
+def test_larger_model_counts_as_an_attempt(build_harness):
+    """Guards against a request that runs on four instances instead of three.
 
-    Two attempts fail and the third's answer is unsure. Cause: asking a larger
-    model was not held to the route's attempts.
+    Two attempts fail, and the third one's answer is unsure. Asking a larger
+    model counts towards the route's maximum of attempts.
     """
     head = b"Confidence: 10\r\n"
-    fails = [Upstream(answer(status=b"500 Oops")) for _ in range(2)]
+    failing = [Upstream(answer(status=b"500 Oops")) for _ in range(2)]
     unsure = Upstream(stream(1, 2, 3, extra=head))
     spare = Upstream(stream(1, 2, 3))
-    upstreams = [*fails, unsure, spare]
+    upstreams = [*failing, unsure, spare]
     harness = build_harness([streaming(models=("s", "l"))], upstreams)
     for number, domain in enumerate(("d1", "d2", "d3", "d4")):
         entry = upstreams[number].entry(
@@ -132,10 +134,10 @@
     assert [len(one.requests) for one in upstreams] == [1, 1, 1, 0]
 
 
-def test_caller_who_left_ends_the_run(build_harness):
-    """Symptom: an instance works on for callers who are gone.
+def test_disconnected_caller_ends_the_run(build_harness):
+    """Guards against instances that go on running for disconnected callers.
 
-    Cause: while the instance is awaited nobody looks at the caller's socket.
+    The caller's socket must be watched while the router waits for the instance.
     """
     upstream = Upstream(send(then="silent"))
     harness = build_harness([streaming(timeout_s=5.0, goal_s=5.0)], [upstream])
@@ -147,7 +149,7 @@
     assert len(upstream.requests) == 1
 
 
-def test_next_request_on_the_connection_is_no_leaving(build_harness):
+def test_pipelined_request_is_no_disconnect(build_harness):
     upstream = Upstream(
         send(lambda i: stream_head(i), event(1), then="keep"), answer()
     )
@@ -158,7 +160,7 @@
     assert read_answer(sock)[2] == b"id: 1\ndata: e1\n\n"
 
 
-def test_unsure_answer_is_taken_where_no_retry_is_left(build_harness):
+def test_unsure_answer_is_accepted_without_a_retry_left(build_harness):
     head = b"Confidence: 10\r\n"
     upstream = Upstream(stream(1, 2, 3, extra=head))
     harness = build_harness([streaming(models=("s", "l"))], [upstream])
@@ -168,10 +170,10 @@
     assert harness.call(extra="Model: *\r\n")[2] == WHOLE
 
 
-def test_refusals_take_from_the_budget(build_harness):
+def test_refusals_use_the_retry_budget(build_harness):
     upstreams = [Upstream(refuse(), refuse()), Upstream(refuse())]
     harness = build_harness([route(max_attempts=9)], upstreams)
-    add(harness, upstreams[1])
+    make_remote(harness, upstreams[1])
     budget = harness.gateway.budget("svc")
     budget.share, budget.saved = 0.0, 2.0
     status, headers, _ = harness.call()
--- a/tests/components/gateway/test_suspects.py
+++ b/tests/components/gateway/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of requests that crash the instances that they reach."""
+"""Tests of poison requests, which crash the instances that run them."""
 
 import socket
 
@@ -22,7 +22,7 @@
 
 
 def crash(upstream):
-    """Return a step that ends the instance with the request's connection."""
+    """Return a step that closes the instance and the request's connection."""
 
     def step(*_):
         upstream.close()
@@ -32,7 +32,7 @@
 
 
 def crashing(count):
-    """Return instances of which each crashes at its first request."""
+    """Return instances that each crash at their first request."""
     found = [Upstream() for _ in range(count)]
     for upstream in found:
         upstream.steps = [crash(upstream)]
@@ -40,12 +40,12 @@
 
 
 @pytest.mark.parametrize("repeat", [Repeat.IDEMPOTENT, Repeat.ONCE])
-def test_request_that_crashes_what_runs_it_is_held_back(build_harness, repeat):
-    """Symptom: one request, sent again and again, takes down all instances.
+def test_poison_request_is_refused(build_harness, repeat):
+    """Guards against one request that takes down all instances.
 
-    Sequence: it is lost at an instance; it is repeated by the router where it
-    may be, and by its caller; each repeat takes down another instance. Cause:
-    nothing was remembered of it.
+    The request is lost at an instance, and is repeated by the router where the
+    route allows it, and by its caller. Without a record of the losses each
+    repeat takes down another instance.
     """
     upstreams = crashing(6)
     harness = build_harness([route(repeat, max_attempts=2)], upstreams)
@@ -57,14 +57,14 @@
     assert statuses[-1] == 429
     assert float(headers["retry-after"]) > 10
     assert set(statuses) == {502, 429}
-    # What was refused as not run reached no instance.
+    # Requests refused as not run reached no instance.
     refused = [f"c-{n}" for n, one in enumerate(statuses) if one == 429]
     heads = [head for one in upstreams for head in one.requests]
     assert not [i for i in refused for head in heads if f"{i}\r" in head]
 
 
 def replaced(upstream):
-    """Return a step after which another instance answers at the address."""
+    """Return a step that resets, after which another instance answers."""
 
     def step(sock, *_):
         upstream.named = b"next"
@@ -74,12 +74,12 @@
     return step
 
 
-def test_next_start_at_the_address_is_no_sign_of_life(build_harness):
-    """Guards against a crash that counts as a broken connection for good.
+def test_new_incarnation_at_the_address_is_no_sign_of_life(build_harness):
+    """Guards against a crash that is taken for a mere connection loss.
 
-    Symptom: one request ends engine after engine. Sequence: its engine ends;
-    when that is looked into, the address takes connections again. Cause:
-    whoever took a connection counted as the engine that lost the request.
+    One request crashed engine after engine: when the health check came after a
+    crash, a new incarnation accepted connections at the address, and counted
+    as the engine that had lost the request.
     """
     upstreams = [Upstream() for _ in range(6)]
     for upstream in upstreams:
@@ -91,8 +91,8 @@
     assert harness.directory.replaced_seen == 3
 
 
-def in_part(upstream, *parts, ends):
-    """Return a step that answers in part and resets; `ends` the instance."""
+def send_in_part(upstream, *parts, ends):
+    """Return a step that sends parts and resets; `ends` also closes."""
 
     def step(sock, call_id, _):
         for part in parts:
@@ -108,18 +108,18 @@
 @pytest.mark.parametrize(
     ("ends", "held"), [(True, True), (False, False)], ids=["ends", "lives"]
 )
-def test_streams_that_broke_in_part_count_where_the_instance_ended(
+def test_broken_streams_count_where_the_instance_ended(
     build_harness, ends, held
 ):
-    """Guards against a crash after the first event that leaves no trace.
+    """Guards against a crash after the first event that is not recorded.
 
-    Instances that live on after a reset speak against nobody.
+    A reset by an instance that stays alive is no evidence against a request.
     """
     whole = send(stream_head, event(1), END, then="keep")
     upstreams = [Upstream() for _ in range(3)]
     for upstream in upstreams:
         first = (stream_head, event(1))
-        broken = in_part(upstream, *first, ends=ends)
+        broken = send_in_part(upstream, *first, ends=ends)
         upstream.steps = [broken, *[whole] * 4]
     harness = build_harness([route(Repeat.ONCE, streaming=True)], upstreams)
     for number in range(len(upstreams)):
@@ -143,12 +143,12 @@
     ],
     ids=["a failure", "an unsure head"],
 )
-def test_what_shows_no_whole_run_clears_nothing(build_harness, between):
-    """Guards against a crashing request that is forgotten between two crashes.
+def test_incomplete_run_clears_no_evidence(build_harness, between):
+    """Guards against evidence that is cleared between two crashes.
 
-    Symptom: it ends engine after engine. Sequence: an engine that fails some
-    of its requests answers it with 500, or the head of a small model's answer
-    comes ahead of the crash. Cause: either took back all that was known.
+    A poison request crashed engine after engine. An engine that fails some of
+    its requests answered it with 500, or the head of a small model's answer
+    arrived before the crash, and either one cleared all evidence.
     """
     upstreams = crashing(5)
     models = ("small", "large")
@@ -165,15 +165,15 @@
     assert suspects.held() == 1
 
 
-def told(harness, body):
-    """Have another router tell of three crashes of a request."""
+def report_crashes(harness, body):
+    """Receive a report of three crashes of a request from another router."""
     names = [f"gone-{number}" for number in range(3)]
     request = Call("x", b"POST", b"/r/x?q=1", "h.example", "/r/x", body=body)
     harness.suspects.hear("r-2", {fingerprint_of(request, "w-1"): names})
 
 
 class InterceptedPool(ConnectionPool):
-    """Something comes to be known while a connection is opened."""
+    """A connection pool that calls `meanwhile` as a connection is opened."""
 
     __slots__ = ("meanwhile",)
 
@@ -182,38 +182,38 @@
         return super().take(entry, timeout_s)
 
 
-def test_request_that_waits_as_the_evidence_comes_is_not_sent(build_harness):
-    """Guards against copies under way that go on to fresh engines.
+def test_waiting_request_is_not_sent_after_evidence(build_harness):
+    """Guards against sending admitted copies of a poison request.
 
-    Sequence: a copy is admitted and waits for a connection; other routers tell
-    of its crashes. Cause: it was asked once, when it came.
+    A copy is admitted and waits for a connection; meanwhile other routers
+    report its crashes. The evidence must be checked again before it is sent.
     """
     upstream = Upstream()
     harness = build_harness([route()], [upstream])
     harness.gateway.pool = InterceptedPool()
-    harness.gateway.pool.meanwhile = lambda: told(harness, b"bad")
+    harness.gateway.pool.meanwhile = lambda: report_crashes(harness, b"bad")
     assert harness.call(body=b"bad")[0] == 429
     assert upstream.requests == []
     assert harness.call(body=b"good")[0] == 200
 
 
-def test_request_is_not_repeated_once_the_evidence_is_there(build_harness):
-    """Guards against a repeat, as above; what the first said is passed on."""
+def test_request_is_not_retried_after_evidence(build_harness):
+    """Guards against a retry after evidence; the first answer is passed on."""
     upstreams = [Upstream(), Upstream()]
     harness = build_harness([route()], upstreams)
 
-    def fails(sock, call_id, _):
-        told(harness, b"bad")
+    def fail_with_evidence(sock, call_id, _):
+        report_crashes(harness, b"bad")
         sock.sendall(ok(call_id, b"failed", b"", b"500 Error"))
 
     for upstream in upstreams:
-        upstream.steps = [fails]
+        upstream.steps = [fail_with_evidence]
     assert harness.call(body=b"bad")[0] == 500
     assert sum(len(one.requests) for one in upstreams) == 1
 
 
-def test_answer_of_the_next_start_is_no_sign_of_life(build_harness):
-    """Guards against the next start's answers keeping its dead one alive."""
+def test_answer_of_a_new_incarnation_is_no_sign_of_life(build_harness):
+    """Guards against a new incarnation's answers keeping a dead one alive."""
     other = b"Not-Executed: 1\r\nInstance-Id: next\r\n"
     upstream = Upstream(answer(b"", other, b"421 Misdirected"))
     harness = build_harness([route(Repeat.ONCE)], [upstream])
@@ -223,7 +223,7 @@
     assert instance.answered_at < 0.0
 
 
-def test_others_go_on(build_harness):
+def test_other_requests_are_served(build_harness):
     upstreams = [*crashing(3), Upstream()]
     harness = build_harness([route(max_attempts=2)], upstreams)
     for number in range(4):
@@ -238,13 +238,13 @@
     "response",
     [
         send(b"garbage\r\n\r\n", then="close"),
-        send(lambda i: answer_without_seal(i), then="keep"),
+        send(lambda i: unsealed_answer(i), then="keep"),
         send(then="silent"),
         send(lambda i: stream_head(i), then="keep"),
     ],
     ids=["no http", "no seal", "silent", "stream without an event"],
 )
-def test_bad_answers_are_no_crashes(build_harness, response):
+def test_invalid_answers_are_no_crashes(build_harness, response):
     upstreams = [
         Upstream(response),
         Upstream(response),
@@ -257,13 +257,13 @@
     assert harness.suspects.suspects == {}
 
 
-def answer_without_seal(call_id):
-    """Return an answer that is not the upstream's own."""
+def unsealed_answer(call_id):
+    """Return an answer without the upstream's response seal."""
     head = b"HTTP/1.1 200 OK\r\nAttempt-Id: " + call_id
     return head + b"\r\nContent-Length: 2\r\n\r\nok"
 
 
-def test_an_answer_between_clears(build_harness):
+def test_complete_answer_clears_the_evidence(build_harness):
     upstreams = crashing(3)
     upstreams[1].steps = [answer()]
     harness = build_harness([route(Repeat.ONCE)], upstreams)
