--- a/lacewingdock/components/gateway/cascade.py
+++ b/lacewingdock/components/gateway/cascade.py
@@ -118,7 +118,9 @@
             left_s=round(left_s, 3),
         )
 
-    def on_instance_chosen(self, instance: Instance, *, goes_on: bool) -> None:
+    def on_instance_chosen(
+        self, instance: Instance, *, resumes_stream: bool
+    ) -> None:
         """Choose the largest model where the instance has a rate limit.
 
         A rate limit counts attempts and not their cost: an answer that is
@@ -131,7 +133,7 @@
                 model.
         """
         now = self.gateway.chooser.directory.clock.now()
-        if self.model and not goes_on and instance.is_limited(now):
+        if self.model and not resumes_stream and instance.is_limited(now):
             self.model = self.route.models[-1]
 
     def record_lateness(self, result: Result, began_at: float) -> None:
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -273,7 +273,9 @@
         found = wait_for_instance(self.gateway.chooser, placement_request)
         if isinstance(found, NoInstance):
             raise self._no_answer(f"no instance, {shift}", found.after_s)
-        self.cascade.on_instance_chosen(found, goes_on=self.progress.started)
+        self.cascade.on_instance_chosen(
+            found, resumes_stream=self.progress.started
+        )
         return found
 
     def _turn_deadline(self) -> float:
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -289,8 +289,8 @@
         """Make one attempt, and take what it shows."""
         unread = self._unread(request, cascade)
         if self.world.policy.first is FirstModel.CASCADE:
-            goes_on = bool(progress.answer.first_at)
-            cascade.on_instance_chosen(instance, goes_on=goes_on)
+            resumes_stream = bool(progress.answer.first_at)
+            cascade.on_instance_chosen(instance, resumes_stream=resumes_stream)
         domain = instance.entry.failure_domain
         try:
             yield self.world.env.timeout(self.world.way_s(self.domain, domain))
