--- a/lacewingdock/components/gateway/attempt.py
+++ b/lacewingdock/components/gateway/attempt.py
@@ -276,7 +276,9 @@
             connection.read_whole(self.timeouts.end, MAX_BODY_BYTES)
             return self._not_run(head), head
         if head.success and (not head.sealed or head.encoded):
-            return Broken("answer is not the upstream's own"), None
+            return Broken(
+                "answer lacks the response seal or has a content encoding"
+            ), None
         fresh = head.success and not self.progress.started
         if fresh and not self.accepts(head):
             return Unsure(head.confidence or 0.0), None
--- a/lacewingdock/components/gateway/cascade.py
+++ b/lacewingdock/components/gateway/cascade.py
@@ -75,7 +75,9 @@
         self.service = service
         self.started = started
         self.required_confidence = CONFIDENCE_ENOUGH
-        self.model = self._first() if call.any_model and route.models else ""
+        self.model = (
+            self._first_model() if call.any_model and route.models else ""
+        )
 
     @property
     def is_largest(self) -> bool:
@@ -129,8 +131,8 @@
 
         Args:
             instance: The instance of the next attempt.
-            goes_on: Whether the attempt resumes a stream, which must keep its
-                model.
+            resumes_stream: Whether the attempt resumes a stream, which must
+                keep its model.
         """
         now = self.gateway.chooser.directory.clock.now()
         if self.model and not resumes_stream and instance.is_limited(now):
@@ -158,7 +160,7 @@
         if self.is_largest or part >= RELAXED_BELOW:
             self.gateway.pressure(self.service).add(part)
 
-    def _first(self) -> str:
+    def _first_model(self) -> str:
         """Return the smallest model if the largest can be asked afterwards.
 
         A cascade needs two attempts, and one more in case of a failure. Where
@@ -166,10 +168,10 @@
         largest model is asked at once.
         """
         models = self.route.models
-        may_ask_on = (
+        may_escalate = (
             self.route.repeat is Repeat.RESUMABLE
             and self.route.max_attempts > ATTEMPTS_OF_CASCADE
             and self.gateway.budget(self.service).saved >= CASCADE_RESERVE
             and not self.gateway.chooser.takes_few(self.service)
         )
-        return models[0] if may_ask_on else models[-1]
+        return models[0] if may_escalate else models[-1]
--- a/lacewingdock/components/gateway/confidence_threshold.py
+++ b/lacewingdock/components/gateway/confidence_threshold.py
@@ -28,9 +28,8 @@
 # within seconds.
 NEW_WEIGHT: Final = 0.15
 HALF_LIFE_S: Final = 3.0
-# Cap on the lateness of a single answer, as a multiple of the goal. An
-# answer beyond it is late by any measure, and the mean must fall soon after a
-# burst.
+# Cap on the lateness of a single answer, as a multiple of the goal. An answer
+# beyond it is late by any measure, and the mean must fall soon after a burst.
 MAX_LATENESS: Final = 1.5
 # Shortest goal in seconds; a goal of zero would make the lateness infinite.
 MIN_GOAL_S: Final = 1e-3
--- a/lacewingdock/components/gateway/events.py
+++ b/lacewingdock/components/gateway/events.py
@@ -37,14 +37,14 @@
 
     def append(self, data: bytes) -> list[Event]:
         """Append received bytes, and return the events that they complete."""
-        text = self.incomplete + data
-        found = []
+        buffered = self.incomplete + data
+        events = []
         start = 0
-        for end in _END.finditer(text):
-            event = text[start : end.end()]
-            named = _ID.search(event)
-            event_id = named[1].decode("latin-1") if named else ""
-            found.append(Event(event_id, event))
+        for end in _END.finditer(buffered):
+            event = buffered[start : end.end()]
+            id_match = _ID.search(event)
+            event_id = id_match[1].decode("latin-1") if id_match else ""
+            events.append(Event(event_id, event))
             start = end.end()
-        self.incomplete = text[start:]
-        return found
+        self.incomplete = buffered[start:]
+        return events
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -270,13 +270,15 @@
             self.call.id,
             self._turn_deadline(),
         )
-        found = wait_for_instance(self.gateway.chooser, placement_request)
-        if isinstance(found, NoInstance):
-            raise self._no_answer(f"no instance, {shift}", found.after_s)
+        chosen = wait_for_instance(self.gateway.chooser, placement_request)
+        if isinstance(chosen, NoInstance):
+            raise self._no_answer(
+                f"no instance accepts the request, {shift}", chosen.after_s
+            )
         self.cascade.on_instance_chosen(
-            found, resumes_stream=self.progress.started
+            chosen, resumes_stream=self.progress.started
         )
-        return found
+        return chosen
 
     def _turn_deadline(self) -> float:
         """Return the time up to which to wait for a turn at a paced instance.
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -146,7 +146,9 @@
         self, connection: ServerConnection, error: LacewingdockError
     ) -> None:
         """Refuse a request that could not be parsed or read in time."""
-        log.info("request unread", code=error.kind, detail=error.detail)
+        log.info(
+            "request could not be read", code=error.kind, detail=error.detail
+        )
         self.metrics.count_outcome("", None, None, refused(error), 0.0)
         connection.keep = False
         answer_error(connection, error, "")
--- a/lacewingdock/components/gateway/metrics.py
+++ b/lacewingdock/components/gateway/metrics.py
@@ -134,12 +134,12 @@
 
     def copy(self) -> "GatewayMetrics":
         """Return a consistent copy of the counters."""
-        found = GatewayMetrics()
+        copied = GatewayMetrics()
         with self._lock:
-            found.requests = self.requests.copy()
-            found.attempts = self.attempts.copy()
-            found.seconds = {
+            copied.requests = self.requests.copy()
+            copied.attempts = self.attempts.copy()
+            copied.seconds = {
                 labels: DurationHistogram(list(times.counts), times.total_s)
                 for labels, times in self.seconds.items()
             }
-        return found
+        return copied
