--- a/lacewingdock/components/gateway/events.py
+++ b/lacewingdock/components/gateway/events.py
@@ -1,50 +1,50 @@
-"""Support for cutting a stream into whole events."""
+"""Support for splitting a stream into complete server-sent events."""
 
 import re
 from dataclasses import dataclass
 from typing import Final
 
-# An event ends with an empty line, whichever line ends the upstream uses.
+# An event ends with an empty line; upstreams use CRLF or LF.
 _END: Final = re.compile(rb"\r?\n\r?\n")
 _ID: Final = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
 
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """One event, as it came.
+    """A complete event, with its bytes unchanged.
 
     Attributes:
-        id: Its id; empty where it has none.
-        data: All its bytes, the empty line at its end too.
+        id: Value of the id field; empty where there is none.
+        data: All bytes of the event, including the empty line at its end.
     """
 
     id: str
     data: bytes
 
 
-class EventCutter:
-    """Cuts bytes into events, and keeps the rest for the next ones.
+class EventSplitter:
+    """Splits a stream of bytes into events, and buffers an incomplete event.
 
     Attributes:
-        rest: Bytes of an event that is not whole yet.
+        incomplete: Bytes received of an event that is not complete yet.
     """
 
-    __slots__ = ("rest",)
+    __slots__ = ("incomplete",)
 
     def __init__(self) -> None:
-        """Start at the beginning of an event."""
-        self.rest = b""
+        """Create a splitter for the start of a stream."""
+        self.incomplete = b""
 
-    def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and return the events that they make whole."""
-        text = self.rest + data
-        found = []
+    def append(self, data: bytes) -> list[Event]:
+        """Append received bytes, and return the events that they complete."""
+        buffered = self.incomplete + data
+        events = []
         start = 0
-        for end in _END.finditer(text):
-            event = text[start : end.end()]
-            named = _ID.search(event)
-            event_id = named[1].decode("latin-1") if named else ""
-            found.append(Event(event_id, event))
+        for end in _END.finditer(buffered):
+            event = buffered[start : end.end()]
+            id_match = _ID.search(event)
+            event_id = id_match[1].decode("latin-1") if id_match else ""
+            events.append(Event(event_id, event))
             start = end.end()
-        self.rest = text[start:]
-        return found
+        self.incomplete = buffered[start:]
+        return events
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Support for one request of a caller, from its route to its answer."""
+"""Support for serving one request of a caller, from route to answer."""
 
 import time
 from typing import Final
@@ -26,14 +26,21 @@
     left,
     refused,
 )
-from lacewingdock.components.gateway.patience import (
-    Patience,
-    patience_for,
-    patience_of_last,
+from lacewingdock.components.gateway.placement import (
+    NoInstance,
+    PlacementRequest,
+    wait_for_instance,
+)
+from lacewingdock.components.gateway.refusal import (
+    not_run_error,
+    repeats_crash_error,
+)
+from lacewingdock.components.gateway.request_log import report_outcome
+from lacewingdock.components.gateway.timeouts import (
+    ReadTimeouts,
+    timeouts_before_retry,
+    timeouts_of_last_attempt,
 )
-from lacewingdock.components.gateway.placing import NoPlace, Seeker, place
-from lacewingdock.components.gateway.refusal import not_run, repeats_crash
-from lacewingdock.components.gateway.request_log import finished
 from lacewingdock.components.pacing.const import WAIT_PART
 from lacewingdock.components.shifts import VersionSample
 from lacewingdock.components.suspects.decision import Decision
@@ -48,47 +55,53 @@
 from lacewingdock.world.call import Call, Sending
 from lacewingdock.world.route import Caller, Repeat, Route, RoutingTable
 
-# Attempts that reach no upstream do not count, since nothing ran; more than
-# this many in a row say that none can be reached.
+# Attempts of one request that reach no upstream before it is given up, as no
+# instance seems reachable. They do not count as attempts of the route, since
+# nothing ran.
 MAX_UNREACHED: Final = 4
-# With less time left than this, another attempt can't be answered.
+# Shortest time left, in seconds, in which another attempt can be answered.
 MIN_LEFT_S: Final = 0.03
-# A request that meets a starting router waits this long for the first
-# configuration, instances and roll-outs, which take some round trips to the
-# store; a refusal would have the caller wait longer.
+# Seconds that a request waits at a starting router for the first configuration,
+# instances and roll-outs, which take some round trips to the store. After a
+# refusal the caller would wait longer.
 START_WAIT_S: Final = 0.4
-# Waits of callers that do not say how long; beyond any route's timeout.
-DEFAULT_PATIENCE_S: Final = 60.0
+# Deadline of a request in seconds until its route is found; longer than any
+# route's timeout.
+DEFAULT_TIMEOUT_S: Final = 60.0
 
-# Streams with fewer events show no pace: they may all come at once.
+# Fewest events of a stream whose pace is recorded; fewer events may all arrive
+# at once.
 MIN_PACE_EVENTS: Final = 4
-# Tokens of prompts in the unit in which instances are compared.
+# Prompt tokens in one unit of the work by which instances are compared.
 WORK_UNIT: Final = 1000.0
-# Upstreams rank requests from 0, the first, to this.
+# Lowest priority of a request at upstreams; 0 is the highest.
 LAST_PRIORITY: Final = 9
 
 log = get_logger("gateway")
 
 
 class Exchange:
-    """One request, served by the task of its connection.
+    """One request, served by the thread of its connection.
 
     Attributes:
-        gateway: What all requests share.
+        gateway: The state that all requests share.
         call: The request.
         connection: The caller's connection.
-        table: The routing table in force when it came.
-        route: Its route.
-        service: The service it goes to.
-        caller: Its workspace.
-        end: Monotonic time at which it is given up.
-        progress: How far its stream got.
-        tried: The instances that it reached, by their starts.
-        unreached: Attempts that reached none.
-        unread: What the next attempt has to read at its instance.
-        may_have_run: Whether an attempt did not say that it was not run.
-        cascade: Which of the route's models answers.
-        crashes: Whether it crashes the instances that run it.
+        table: The routing table in force when the request was received.
+        route: The request's route.
+        service: The service that the request is routed to.
+        caller: The caller's workspace; None where no key is required.
+        started: Monotonic time at which the request was received.
+        end: Monotonic deadline of the request.
+        progress: How much of the stream was sent to the caller.
+        tried: Incarnations of the instances that the request has reached.
+        unreached: Number of attempts that reached no instance.
+        unread: Prompt work of the next attempt, in `WORK_UNIT` tokens.
+        may_have_run: Whether an attempt ended without proof that the request
+            did not run.
+        cascade: Chooses which of the route's models answers.
+        is_poison: Whether the request was found to be a poison request, which
+            crashes the instances that run it.
     """
 
     __slots__ = (
@@ -96,9 +109,9 @@
         "caller",
         "cascade",
         "connection",
-        "crashes",
         "end",
         "gateway",
+        "is_poison",
         "may_have_run",
         "progress",
         "route",
@@ -117,23 +130,23 @@
     def __init__(
         self, gateway: Gateway, call: Call, connection: ServerConnection
     ) -> None:
-        """Take the request; `run` serves it."""
+        """Create the exchange of a request; `run` serves it."""
         self.gateway = gateway
         self.call = call
         self.connection = connection
         self.started = connection.read_at
         self.caller: Caller | None = None
         self.service = ""
-        self.end = self.started + DEFAULT_PATIENCE_S
+        self.end = self.started + DEFAULT_TIMEOUT_S
         self.progress = Progress()
         self.tried: list[str] = []
         self.unreached = 0
         self.unread = 0.0
         self.may_have_run = False
-        self.crashes = False
+        self.is_poison = False
 
     def run(self) -> None:
-        """Serve the request to its final answer."""
+        """Serve the request until its answer is sent or its caller left."""
         try:
             self._admit()
             outcome = self._attempts()
@@ -143,31 +156,32 @@
             outcome = left()
             self.connection.keep = False
         except Exception as error:
-            # A fault of ours must not leave the caller without an answer.
+            # A fault in the router must not leave the caller without an answer.
             log.exception("request failed", request=self.call.id)
             outcome = self._refuse(
                 LacewingdockError(ErrorKind.INTERNAL, repr(error))
             )
-        finished(self, outcome)
+        report_outcome(self, outcome)
 
     def _admit(self) -> None:
-        """Find route, workspace and time.
+        """Look up route and workspace, and set the deadline.
 
         Raises:
-            LacewingdockError: NOT_READY, NOT_FOUND or UNAUTHORIZED.
+            LacewingdockError: NOT_READY, NOT_FOUND, UNAUTHORIZED or
+                REPEATS_CRASH.
         """
         call = self.call
-        self.gateway.wait_known(START_WAIT_S)
+        self.gateway.wait_until_ready(START_WAIT_S)
         table = self.gateway.routes.table
         if table is None:
             raise LacewingdockError(
-                ErrorKind.NOT_READY, "no configuration is known yet"
+                ErrorKind.NOT_READY, "no configuration was loaded yet"
             )
         route = table.find(call.host, call.path)
         if route is None:
             raise LacewingdockError(
                 ErrorKind.NOT_FOUND,
-                f"no route at configuration {table.version}",
+                f"no route matches in configuration {table.version}",
             )
         self.table, self.route = table, route
         if table.callers is not None and not route.public:
@@ -175,14 +189,14 @@
             if self.caller is None:
                 raise LacewingdockError(
                     ErrorKind.UNAUTHORIZED,
-                    f"unknown key at configuration {table.version}",
+                    f"unknown API key in configuration {table.version}",
                 )
         patience_s = route.timeout_s
         if call.patience_s is not None:
             patience_s = min(patience_s, call.patience_s)
         self.end = self.started + patience_s
         if self.gateway.suspects.holds(call, self.workspace):
-            raise repeats_crash()
+            raise repeats_crash_error()
         self.service = self._service()
         self.cascade = Cascade(
             self.gateway, call, route, self.service, self.started
@@ -191,7 +205,7 @@
 
     @property
     def workspace(self) -> str:
-        """Name of the caller's workspace; empty where none is known."""
+        """Name of the caller's workspace; empty where no key is required."""
         return self.caller.workspace if self.caller else ""
 
     def _service(self) -> str:
@@ -202,10 +216,10 @@
         return self.gateway.random.choices(targets, weights)[0].service
 
     def _attempts(self) -> Outcome:
-        """Make attempts until there is an answer; return the outcome.
+        """Make attempts until one is answered; return the outcome.
 
         Raises:
-            LacewingdockError: It is given up.
+            LacewingdockError: The request is given up.
             CallerGone, CallerLeft: The caller closed its connection.
         """
         while True:
@@ -220,7 +234,7 @@
                 continue
             if is_failure(result) and self._may_repeat(result):
                 log.info(
-                    "another attempt",
+                    "attempt failed, trying another",
                     request=self.call.id,
                     upstream=instance.entry.id,
                     result=type(result).__name__,
@@ -242,32 +256,36 @@
         """Return the instance of the next attempt.
 
         Raises:
-            LacewingdockError: There is none.
+            LacewingdockError: No instance accepts the request in time.
         """
         shift = self.gateway.shifts.version(
             self.service, self.call, again=self.may_have_run
         )
-        self.unread = self._to_read()
-        seeker = Seeker(
+        self.unread = self._unread_work()
+        placement_request = PlacementRequest(
             self.service,
             shift,
             self.unread,
             self.tried,
             self.call.id,
-            self._turn_by(),
+            self._turn_deadline(),
+        )
+        chosen = wait_for_instance(self.gateway.chooser, placement_request)
+        if isinstance(chosen, NoInstance):
+            raise self._no_answer(
+                f"no instance accepts the request, {shift}", chosen.after_s
+            )
+        self.cascade.on_instance_chosen(
+            chosen, resumes_stream=self.progress.started
         )
-        found = place(self.gateway.chooser, seeker)
-        if isinstance(found, NoPlace):
-            raise self._no_answer(f"no instance, {shift}", found.after_s)
-        self.cascade.placed(found, goes_on=self.progress.started)
-        return found
-
-    def _turn_by(self) -> float:
-        """Return until when a turn at an instance is waited for.
-
-        More urgent requests wait longer, so where turns are few the others
-        are refused first. One that may have run can't be refused any more, so
-        it waits for as long as it can be answered.
+        return chosen
+
+    def _turn_deadline(self) -> float:
+        """Return the time up to which to wait for a turn at a paced instance.
+
+        Requests of higher priority wait longer, so that where turns are few the
+        others are refused first. A request that may have run can't be refused
+        as not run any more, so it waits for as long as it can be answered.
         """
         if self.may_have_run:
             return self.end - MIN_LEFT_S
@@ -284,17 +302,18 @@
         which only holds while no attempt may have run.
 
         Args:
-            detail: Why there is none.
-            after_s: Seconds after which there may be one, if that is known.
+            detail: The reason.
+            after_s: Seconds after which a retry may succeed; None where
+                unknown.
         """
         if not self.may_have_run:
-            return not_run(detail, after_s, self.gateway.random)
+            return not_run_error(detail, after_s, self.gateway.random)
         if time.monotonic() >= self.end:
             return LacewingdockError(ErrorKind.DEADLINE, detail)
         return LacewingdockError(ErrorKind.UPSTREAM_FAILED, detail)
 
-    def _to_read(self) -> float:
-        """Return what the request has to read at an instance."""
+    def _unread_work(self) -> float:
+        """Return the prompt work of the request, in `WORK_UNIT` tokens."""
         call = self.call
         costs = self.table.services.get(self.service)
         share = costs.relative_cost(self.cascade.model) if costs else 1.0
@@ -307,13 +326,15 @@
             instance,
             self.call,
             self.connection,
-            self._patience(instance),
+            self._timeouts(instance),
             self.progress,
             self.route.streaming,
-            lambda: self._is_held() or not instance.takes_any(time.monotonic()),
-            # This attempt is not among those counted yet.
+            lambda: (
+                self._check_poison() or not instance.takes_any(time.monotonic())
+            ),
+            # `tried` does not include this attempt yet.
             lambda head: self.cascade.accepts(head, len(self.tried) + 1),
-            lambda head: self.gateway.answered(instance, head, start),
+            lambda head: self.gateway.record_head(instance, head, start),
             lambda: self.gateway.chooser.began(instance, unread),
             self.gateway.pressure(self.service).slowdown.paused,
         )
@@ -329,12 +350,12 @@
         try:
             result = attempt.run(sending)
         finally:
-            attempt.began()
+            attempt.notify_began()
             self.gateway.chooser.done(instance)
         state = instance.state(start)
-        self.gateway.metrics.attempted(state, type(result).__name__)
-        self._note_pace(attempt, result, events)
-        self._learn(instance, result, start, events)
+        self.gateway.metrics.count_attempt(state, type(result).__name__)
+        self._record_pace(attempt, result, events)
+        self._record_result(instance, result, start, events)
         log_attempt(
             self.gateway.chooser,
             self.call,
@@ -346,25 +367,26 @@
         )
         return result
 
-    def _is_held(self) -> bool:
-        """Whether it is known by now that it crashes what runs it.
+    def _check_poison(self) -> bool:
+        """Return whether the request has been found to be a poison request.
 
-        It may have waited for a turn or a connection since it was admitted.
+        Evidence may have arrived since the request was admitted, while it
+        waited for a turn or a connection.
         """
-        if not self.crashes:
+        if not self.is_poison:
             suspects = self.gateway.suspects
-            self.crashes = suspects.is_held(self.call, self.workspace)
-        return self.crashes
+            self.is_poison = suspects.is_held(self.call, self.workspace)
+        return self.is_poison
 
     def priority(self) -> int:
-        """Return the request's rank; its workspace's goes first."""
+        """Return the priority of the workspace, or else of the route."""
         rank = self.route.priority
         if self.caller is not None and self.caller.priority is not None:
             rank = self.caller.priority
         return min(max(rank, 0), LAST_PRIORITY)
 
-    def _patience(self, instance: Instance) -> Patience:
-        """Return how long an attempt waits."""
+    def _timeouts(self, instance: Instance) -> ReadTimeouts:
+        """Return the timeouts of an attempt at an instance."""
         may_repeat = (
             self.route.repeat is not Repeat.ONCE
             and len(self.tried) + 1 < self.route.max_attempts
@@ -373,26 +395,28 @@
             )
         )
         if may_repeat:
-            return patience_for(self.route, self.end)
-        return patience_of_last(self.end)
+            return timeouts_before_retry(self.route, self.end)
+        return timeouts_of_last_attempt(self.end)
 
-    def _note_pace(self, attempt: Attempt, result: Result, events: int) -> None:
-        """Take at what pace a whole stream went on.
+    def _record_pace(
+        self, attempt: Attempt, result: Result, events: int
+    ) -> None:
+        """Record the mean pause of a complete stream.
 
         Args:
             attempt: The attempt.
-            result: What came of it.
-            events: Events that were passed on before it.
+            result: The attempt's result.
+            events: Number of events sent before the attempt.
         """
         count = self.progress.events - events
         if isinstance(result, Streamed) and count >= MIN_PACE_EVENTS:
             mean_s = (time.monotonic() - attempt.began_at) / count
             self.gateway.pressure(self.service).slowdown.ended(mean_s)
 
-    def _learn(
+    def _record_result(
         self, instance: Instance, result: Result, start: float, events: int
     ) -> None:
-        """Take what an attempt shows of its instance and its version."""
+        """Record a result for the instance, its version and the request."""
         match result:
             case NotRun(withheld=True):
                 return
@@ -402,26 +426,26 @@
                 self.gateway.chooser.directory.may_be_cold(instance)
                 return
             case NotRun(replaced_by=other) if other:
-                # It says nothing of the request, which may go to as many
-                # instances as before.
+                # The entry was stale, so the attempt does not count against the
+                # route's attempts.
                 self.gateway.chooser.replaced(instance, other)
                 return
             case NotRun():
                 instance.failed(0.5)
             case Broken():
                 instance.failed(1.0)
-                self._note_loss(instance, result)
+                self._record_loss(instance, result)
             case Whole(head, _) if head.status >= SERVER_ERROR:
                 instance.failed(0.5)
             case _:
                 self._succeeded(instance)
         if isinstance(result, Whole | Streamed) and not is_failure(result):
-            # A failure, or a head alone, does not show that it runs to its end.
+            # Neither an error nor a head alone proves a complete run.
             self.gateway.suspects.answered(self.call, self.workspace)
         if not isinstance(result, NotRun):
             self.may_have_run = True
         first_at = self.progress.first_at if not events else 0.0
-        self.cascade.feel(result, first_at)
+        self.cascade.record_lateness(result, first_at)
         self.tried.append(instance.entry.incarnation)
         self.gateway.shifts.add(
             VersionSample(
@@ -437,32 +461,32 @@
         )
 
     def _succeeded(self, instance: Instance) -> None:
-        """Count a good answer; one that was down for a while may be cold."""
+        """Count a success; an instance that had failed may be cold again."""
         if instance.recent_failures(time.monotonic()) >= FAILURES_TO_PASS_OVER:
             self.gateway.chooser.directory.may_be_cold(instance)
         instance.succeeded()
 
-    def _note_loss(self, instance: Instance, result: Broken) -> None:
-        """Note that an instance lost the request, which may be the cause."""
+    def _record_loss(self, instance: Instance, result: Broken) -> None:
+        """Record a lost request, which may have crashed its instance."""
         suspects, start = self.gateway.suspects, instance.entry.incarnation
         if not result.ended:
             suspects.passed_over(self.call, start, Decision.NOT_ENDED)
             return
-        self.crashes = self.gateway.suspects.lost(
+        self.is_poison = self.gateway.suspects.lost(
             self.call, self.workspace, instance.entry.incarnation
         )
 
     def _may_repeat(self, result: Result) -> bool:
-        """Whether another attempt may be made, and can still be answered."""
-        if self._is_held() or self.end - time.monotonic() < MIN_LEFT_S:
+        """Return whether another attempt is allowed and can be answered."""
+        if self._check_poison() or self.end - time.monotonic() < MIN_LEFT_S:
             return False
         if isinstance(result, NotRun) and result.withheld:
-            # It is not chosen again, so there is an end.
+            # The instance is not chosen again, so the retries are finite.
             return True
         if isinstance(result, NotRun) and not result.reached:
             return self.unreached < MAX_UNREACHED
         if isinstance(result, NotRun) and result.replaced_by:
-            # Each one is found once, so there is an end.
+            # Each replaced instance is found once, so the retries are finite.
             return self.gateway.budget(self.service).take()
         if self.route.repeat is Repeat.ONCE and not isinstance(result, NotRun):
             return False
@@ -471,21 +495,21 @@
         return self.gateway.budget(self.service).take()
 
     def _give_up(self, result: Result) -> Outcome:
-        """End a request that no attempt answered; return the outcome.
+        """End a request without a usable answer; return the outcome.
 
         Raises:
-            LacewingdockError: What the caller is told.
+            LacewingdockError: The error for the caller.
         """
         detail = getattr(result, "detail", "upstream failed")
         if self.progress.started:
             return self._break_off(detail)
-        if self.crashes and not self.may_have_run:
-            raise repeats_crash()
+        if self.is_poison and not self.may_have_run:
+            raise repeats_crash_error()
         after_s = self.gateway.chooser.next_turn_s(self.service)
         raise self._no_answer(detail, after_s)
 
     def _break_off(self, detail: str) -> Outcome:
-        """Close a stream that nothing goes on with, visibly not whole."""
+        """Reset the connection to show that the stream is incomplete."""
         self.connection.keep = False
         self.connection.abort()
         return broken_off(detail)
--- a/tests/components/gateway/scripted.py
+++ b/tests/components/gateway/scripted.py
@@ -1,4 +1,4 @@
-"""Instances that answer each request alike, and routes to them."""
+"""Instances that give every request the same answer, and settings of routes."""
 
 import time
 
@@ -19,8 +19,8 @@
 }
 
 
-class Counting(Upstream):
-    """An instance that answers each request alike, and notes when it came."""
+class RepeatingUpstream(Upstream):
+    """An instance with one answer to all requests, and their times."""
 
     def __init__(self, extra=b"", step=None):
         super().__init__()
@@ -42,8 +42,8 @@
     )
 
 
-class SlowPool:
-    """A pool of connections to which something happens as one is taken."""
+class InterceptedPool:
+    """A connection pool with another function for acquiring connections."""
 
     def __init__(self, take, pool):
         self.take = take
--- a/tests/components/gateway/test_sizing.py
+++ b/tests/components/gateway/test_confidence_threshold.py
@@ -1,8 +1,8 @@
-"""Tests of how sure a smaller model must be of its answer."""
+"""Tests of the confidence that a smaller model's answer must reach."""
 
 import pytest
 
-from lacewingdock.components.gateway.sizing import (
+from lacewingdock.components.gateway.confidence_threshold import (
     ANY_FROM,
     CONFIDENCE_ENOUGH,
     HALF_LIFE_S,
@@ -21,25 +21,25 @@
         (9.0, 0.0, 0.0),
     ],
 )
-def test_confidence_bends_between_two_parts_of_the_goal(clock, part, low, high):
+def test_required_confidence_falls_with_lateness(clock, part, low, high):
     pressure = Pressure()
     for _ in range(60):
         pressure.add(part)
-    assert low <= pressure.enough() / CONFIDENCE_ENOUGH <= high
+    assert low <= pressure.required_confidence() / CONFIDENCE_ENOUGH <= high
 
 
-def test_one_late_answer_does_not_speak_for_all(clock):
+def test_one_late_answer_has_a_bounded_effect(clock):
     pressure = Pressure()
     for _ in range(60):
         pressure.add(0.1)
     pressure.add(9.0)
-    assert pressure.enough() > CONFIDENCE_ENOUGH / 2
+    assert pressure.required_confidence() > CONFIDENCE_ENOUGH / 2
 
 
 def test_larger_models_are_tried_again_after_a_burst(clock):
     pressure = Pressure()
     for _ in range(60):
         pressure.add(1.0)
-    assert pressure.enough() == 0.0
+    assert pressure.required_confidence() == 0.0
     clock(2 * HALF_LIFE_S)
-    assert pressure.enough() == CONFIDENCE_ENOUGH
+    assert pressure.required_confidence() == CONFIDENCE_ENOUGH
