--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -34,7 +34,7 @@
 from lacewingdock.components.gateway.placing import NoPlace, Seeker, place
 from lacewingdock.components.gateway.refusal import not_run, repeats_crash
 from lacewingdock.components.gateway.request_log import finished
-from lacewingdock.components.pacing.const import WAIT_PART
+from lacewingdock.components.pacing.const import MAX_WAIT_SHARE
 from lacewingdock.components.shifts import Sample
 from lacewingdock.components.suspects.decision import Decision
 from lacewingdock.components.upstreams.connection import CallerLeft
@@ -271,7 +271,7 @@
         """
         if self.may_have_run:
             return self.end - MIN_LEFT_S
-        part = WAIT_PART * (1.0 - self.priority() / (LAST_PRIORITY + 1))
+        part = MAX_WAIT_SHARE * (1.0 - self.priority() / (LAST_PRIORITY + 1))
         goal_by = time.monotonic() + self.route.goal_s * part
         return min(goal_by, self.end - MIN_LEFT_S)
 
--- a/lacewingdock/components/mirror/__init__.py
+++ b/lacewingdock/components/mirror/__init__.py
@@ -88,22 +88,22 @@
         "broken",
         "called_at",
         "clock",
+        "defer_call_s",
         "following",
+        "fresh_for_s",
         "health",
         "history",
-        "kept_s",
         "kind",
         "listener",
         "moved_at",
         "objects",
-        "on_news",
+        "on_change",
         "pause",
         "pause_s",
         "pull",
         "ready",
         "renew_s",
         "revision",
-        "spared_s",
         "stale",
         "unseen_s",
         "wait_s",
@@ -130,10 +130,10 @@
         self.pull = pull
         self.wait_s = wait_s
         self.pause_s = pause_s
-        self.kept_s: Callable[[], float] = lambda: 0.0
-        self.spared_s: Callable[[], float] = lambda: 0.0
+        self.fresh_for_s: Callable[[], float] = lambda: 0.0
+        self.defer_call_s: Callable[[], float] = lambda: 0.0
         self.renew_s: Callable[[], float] = lambda: math.inf
-        self.on_news: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
         self.history = ChangeHistory()
         self.stale = False
         self.clock = clock
@@ -202,7 +202,9 @@
                 return None
             return CopyAge(self.history.changed, self.revision, self.as_of)
 
-    def vouch(self, changed: int, revision: int, as_of: float) -> bool:
+    def confirm_unchanged(
+        self, changed: int, revision: int, as_of: float
+    ) -> bool:
         """Take another router's word that nothing changed.
 
         Args:
@@ -225,7 +227,7 @@
             self.as_of = max(self.as_of, as_of)
             return True
 
-    def take_news(self, copy: Copy, after: int, asked_at: float) -> None:
+    def apply_update(self, copy: Copy, after: int, asked_at: float) -> None:
         """Take another router's news.
 
         Args:
@@ -246,10 +248,10 @@
             self._take(copy.snapshot, as_of, sure=copy.sure)
 
     def _round(self) -> float:
-        if rest_s := self.kept_s():
+        if rest_s := self.fresh_for_s():
             self._follow()
             return rest_s
-        if rest_s := self.spared_s():
+        if rest_s := self.defer_call_s():
             return rest_s
         try:
             self._ask_store()
@@ -384,7 +386,7 @@
             for change in found.changes:
                 self.listener.change(change, doubtful=doubtful)
         if found.changes:
-            self.on_news()
+            self.on_change()
         return True
 
     def _move(self, revision: int) -> None:
@@ -485,4 +487,4 @@
             doubtful = self.health.doubtful or not sure
             self.listener.replace(found, doubtful=doubtful)
         self.ready.set()
-        self.on_news()
+        self.on_change()
--- a/lacewingdock/components/mirror/listener.py
+++ b/lacewingdock/components/mirror/listener.py
@@ -16,7 +16,7 @@
         """Take one change in."""
 
 
-class EachObject:
+class PerObjectListener:
     """Takes objects one by one, whatever the state of the store.
 
     For kinds whose objects do not lapse: one that is missing from a list is
--- a/lacewingdock/components/pacing/__init__.py
+++ b/lacewingdock/components/pacing/__init__.py
@@ -119,7 +119,7 @@
             due.append(self._back_at(instance, now))
         return max(due, default=now)
 
-    def others_turn_s(self, instance: Instance, now: float) -> float:
+    def others_gap_s(self, instance: Instance, now: float) -> float:
         """Return within how long some router has a turn at an instance.
 
         Returns:
@@ -134,7 +134,7 @@
             default=math.inf,
         )
 
-    def sends(self, instance: Instance, at: float) -> None:
+    def record_sent(self, instance: Instance, at: float) -> None:
         """Count a request that goes to an instance at a moment."""
         if not instance.takes_few(at):
             return
--- a/lacewingdock/components/pacing/const.py
+++ b/lacewingdock/components/pacing/const.py
@@ -35,7 +35,7 @@
 # Instances whose last turns are remembered; more than a fleet has.
 MAX_REMEMBERED: Final = 16_384
 # What a cold instance's slowness costs in choosing, in requests that run.
-COLD_WEIGHT: Final = 2.0
+COLD_PENALTY: Final = 2.0
 # Part of a request's goal for which it waits for its turn where no instance
 # takes it at once; less by rank.
-WAIT_PART: Final = 0.5
+MAX_WAIT_SHARE: Final = 0.5
--- a/lacewingdock/components/relay/follower.py
+++ b/lacewingdock/components/relay/follower.py
@@ -142,7 +142,7 @@
         self._doubted_at = NEVER
         self._lock = threading.Lock()
 
-    def kept_s(self, kind: str) -> float:
+    def fresh_for_s(self, kind: str) -> float:
         """Return for how many seconds a copy may be left to the watchers.
 
         Returns:
@@ -274,7 +274,7 @@
         if copy.too_long:
             self._from_store[kind] = after
             return
-        mirror.take_news(copy, after, asked_at)
+        mirror.apply_update(copy, after, asked_at)
 
     def _chosen(self, now: float) -> str | None:
         """Return the watcher to ask next; None where this router is one."""
@@ -345,7 +345,7 @@
         """Take the ages of a watcher's copies."""
         for kind, state in self._states(voucher):
             as_of = asked_at - state.age_ms / 1000
-            if not self.mirrors[kind].vouch(
+            if not self.mirrors[kind].confirm_unchanged(
                 state.changed, state.revision, as_of
             ):
                 self._fetch_later(kind, voucher.router)
--- a/lacewingdock/components/routers/__init__.py
+++ b/lacewingdock/components/routers/__init__.py
@@ -45,10 +45,10 @@
 
 # How long a copy is waited for: a round trip and the copy's size; a router
 # that is gone does not answer at all.
-PULL_S: Final = 0.5
+PULL_TIMEOUT_S: Final = 0.5
 # Routers asked in one round: the second is for the case that the first is
 # gone or as cut off as the one that asks.
-ASKED: Final = 2
+ROUTERS_PER_PULL: Final = 2
 # Longest news that are passed on to followers: all of a group fetch at once,
 # and what fills a watcher's link comes into force seconds late on some.
 MAX_NEWS_BYTES: Final = 32 * 1024
@@ -126,8 +126,8 @@
         "entries",
         "entry",
         "first_peers",
-        "heard",
         "name",
+        "on_status",
         "random",
         "recovered",
         "revision",
@@ -155,7 +155,7 @@
         self.recovered = False
         self.revisions: dict[str, int] = {}
         self.tell: Callable[[], bytes] = lambda: b""
-        self.heard: Callable[[str, RouterStatus], None] = lambda *_: None
+        self.on_status: Callable[[str, RouterStatus], None] = lambda *_: None
 
     def count(self) -> int:
         """Return how many routers there are, this one too."""
@@ -232,16 +232,16 @@
     def pull(self, kind: str, revision: int) -> Copy:
         """Return the newest copy that others have beyond a revision."""
         others = self.addresses()
-        asked = self.random.sample(others, min(ASKED, len(others)))
+        asked = self.random.sample(others, min(ROUTERS_PER_PULL, len(others)))
         found = [self._pull_from(one, kind, revision) for one in asked]
-        return newest_of([one for one in found if one is not None], revision)
+        return merge_newest([one for one in found if one is not None], revision)
 
     def drop(self, stored: StoredObject) -> None:
         """Forget a router whose entry was removed."""
         self.revisions.pop(stored.name, None)
         gone = self.entries.pop(stored.name, None)
         if gone is not None:
-            self.heard(stored.name, RouterStatus(gone.incarnation))
+            self.on_status(stored.name, RouterStatus(gone.incarnation))
 
     def take(self, stored: StoredObject) -> None:
         """Take a router's entry; of its own, what its earlier start told."""
@@ -282,7 +282,7 @@
                 return
             if found.counts_for(entry.incarnation, time.time()):
                 status = found
-        self.heard(stored.name, status)
+        self.on_status(stored.name, status)
 
     def host_of(self, name: str) -> str | None:
         """Return another router's IP number, by its entry."""
@@ -332,7 +332,7 @@
             reply = send(
                 url,
                 None if changes else self.tell(),
-                timeout_s=PULL_S,
+                timeout_s=PULL_TIMEOUT_S,
                 max_bytes=MAX_COPY_BYTES,
             )
             if reply.status != HTTPStatus.OK:
@@ -344,7 +344,7 @@
         return found
 
 
-class CopiesPort:
+class CopyServer:
     """Answers other routers with copies of what this one mirrors.
 
     Attributes:
@@ -393,7 +393,7 @@
             return
         if request.body:
             self.told(request.body)
-        copy = copy_for(
+        copy = build_copy(
             mirror, self.health, int(after), changes="changes" in query
         )
         headers = [(b"Content-Type", b"application/json")]
@@ -403,7 +403,7 @@
         connection.answer(HTTPStatus.OK, headers, body)
 
 
-def newest_of(copies: Iterable[Copy], revision: int) -> Copy:
+def merge_newest(copies: Iterable[Copy], revision: int) -> Copy:
     """Return the best of several routers' answers in one.
 
     Args:
@@ -422,7 +422,7 @@
     return best
 
 
-def copy_for(
+def build_copy(
     mirror: Mirror, health: StoreHealth, after: int, *, changes: bool
 ) -> Copy:
     """Return what another router lacks of a kind.
--- a/lacewingdock/components/upstreams/choice.py
+++ b/lacewingdock/components/upstreams/choice.py
@@ -9,7 +9,7 @@
 
 from lacewingdock.components.gossip.load import NOTHING, Work
 from lacewingdock.components.pacing import Pacer
-from lacewingdock.components.pacing.const import COLD_WEIGHT
+from lacewingdock.components.pacing.const import COLD_PENALTY
 from lacewingdock.components.probes import Load
 from lacewingdock.components.probes.const import ASKED, FULL_WEIGHT
 from lacewingdock.components.probes.prober import Prober
@@ -239,7 +239,7 @@
     def _after_s(self, pacer: Pacer, one: Instance, now: float) -> float:
         """Return in how many seconds a request may go to an instance."""
         after_s = min(
-            pacer.due_at(one, now) - now, pacer.others_turn_s(one, now)
+            pacer.due_at(one, now) - now, pacer.others_gap_s(one, now)
         )
         if one.is_cold(now) and not one.is_limited(now):
             after_s = min(after_s, one.cold_until - now)
@@ -263,7 +263,7 @@
         if chosen.recent_failures(at) >= FAILURES_TO_PASS_OVER:
             chosen.trial_at = at + TRIAL_AFTER_S
         if self.pacer is not None:
-            self.pacer.sends(chosen, at)
+            self.pacer.record_sent(chosen, at)
 
     def _fit(self, found: list[Instance], now: float) -> list[Instance]:
         """Leave out those that failed lately, unless all did."""
@@ -353,7 +353,7 @@
         if one.entry.failure_domain != self.failure_domain:
             against += DISTANCE_WEIGHT
         if one.is_cold(now):
-            against += COLD_WEIGHT
+            against += COLD_PENALTY
         return against
 
 
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -23,10 +23,10 @@
 from lacewingdock.components.host_watch import LOOK_S, HostWatch
 from lacewingdock.components.inspection import InspectionPort
 from lacewingdock.components.mirror import Mirror
-from lacewingdock.components.mirror.listener import EachObject, Listener
+from lacewingdock.components.mirror.listener import Listener, PerObjectListener
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.readiness import ReadinessPort
-from lacewingdock.components.routers import CopiesPort, Routers
+from lacewingdock.components.routers import CopyServer, Routers
 from lacewingdock.components.routes import Routes
 from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.shifts.const import KIND_REPORTS, ROUND_S
@@ -173,7 +173,7 @@
         self.suspects = Suspects(
             self.directory, self.routers.publish, self._look_at, self.random
         )
-        self.routers.heard = lambda router, status: (
+        self.routers.on_status = lambda router, status: (
             self.suspects.recover(status.losses)
             if router == host.instance
             else self.suspects.hear(router, status.losses)
@@ -217,7 +217,7 @@
         self.ready = ReadinessPort(
             host.ready_address, self.missing, self.leaving
         )
-        self.copies = CopiesPort(
+        self.copies = CopyServer(
             host.peer_address, self.mirrors, self.health, self.shifts.hear
         )
         self.inspection = self._inspection()
@@ -355,11 +355,13 @@
     def _mirrors(self) -> dict[str, Mirror]:
         self.health = store_health(self._bounds, STEADY)
         listeners: dict[str, Listener] = {
-            KIND_CONFIGURATION: EachObject(self.routes.take),
+            KIND_CONFIGURATION: PerObjectListener(self.routes.take),
             KIND_INSTANCES: InstanceListener(self.directory),
-            KIND_SHIFTS: EachObject(self.shifts.take, self.shifts.drop),
-            KIND_REPORTS: EachObject(self.shifts.take_stored_report),
-            KIND_ROUTERS: EachObject(self.routers.take, self.routers.drop),
+            KIND_SHIFTS: PerObjectListener(self.shifts.take, self.shifts.drop),
+            KIND_REPORTS: PerObjectListener(self.shifts.take_stored_report),
+            KIND_ROUTERS: PerObjectListener(
+                self.routers.take, self.routers.drop
+            ),
         }
         self.cordons = CordonListener(self.directory)
         if self.host.bounds.cordon_s:
--- a/lacewingdock/daemons/router_ports.py
+++ b/lacewingdock/daemons/router_ports.py
@@ -118,7 +118,7 @@
         routers.host_of,
     )
     for mirror in mirrors.values():
-        mirror.on_news = port.tell
+        mirror.on_change = port.tell
     return port
 
 
--- a/lacewingdock/daemons/router_relay.py
+++ b/lacewingdock/daemons/router_relay.py
@@ -103,8 +103,8 @@
         clock,
     )
     for kind, mirror in mirrors.items():
-        mirror.kept_s = _kept_s(follower, health, kind)
-        mirror.spared_s = _spared_s(follower, health, mirror, bounds)
+        mirror.fresh_for_s = _fresh_for_s(follower, health, kind)
+        mirror.defer_call_s = _defer_call_s(follower, health, mirror, bounds)
         if kind in BOUND_KINDS:
             mirror.renew_s = functools.partial(most_age_s, kind)
     health.others_doubt = lambda: follower.doubtful
@@ -124,7 +124,7 @@
     )
 
 
-def _kept_s(
+def _fresh_for_s(
     follower: Follower, health: StoreHealth, kind: str
 ) -> Callable[[], float]:
     """Return how long a kind's copy may be left to the watchers.
@@ -133,10 +133,10 @@
     watchers' word alone it would hold the store for away for good, and what is
     missing for lapsed.
     """
-    return lambda: 0.0 if health.away else follower.kept_s(kind)
+    return lambda: 0.0 if health.away else follower.fresh_for_s(kind)
 
 
-def _spared_s(
+def _defer_call_s(
     follower: Follower,
     health: StoreHealth,
     mirror: Mirror,
@@ -148,7 +148,7 @@
     costs thousands of calls, which are refused.
     """
 
-    def spared_s() -> float:
+    def defer_call_s() -> float:
         if not health.away:
             return 0.0
         is_spared = follower.spared(mirror.called_at)
@@ -157,4 +157,4 @@
         left_s = due_at - mirror.clock.now()
         return 0.0 if probes else min(max(left_s, 0.0), BACK_LOOK_S)
 
-    return spared_s
+    return defer_call_s
--- a/lacewingdock/daemons/router_timing.py
+++ b/lacewingdock/daemons/router_timing.py
@@ -17,7 +17,7 @@
     WATCH_GRACE_S,
 )
 from lacewingdock.components.relay.const import ASK_S, SPREAD
-from lacewingdock.components.routers import ASKED, PULL_S
+from lacewingdock.components.routers import PULL_TIMEOUT_S, ROUTERS_PER_PULL
 from lacewingdock.components.shifts.const import (
     FORCE_BEFORE_S,
     REPORT_BAD_S,
@@ -151,7 +151,13 @@
     Until then another kind's calls, or the watchers', find out whether the
     store is back: an outage costs calls of a few routers, not of all.
     """
-    rest = LOOK_S + ASKED * PULL_S + BACK_LOOK_S + ANSWER_S + SPARE_S
+    rest = (
+        LOOK_S
+        + ROUTERS_PER_PULL * PULL_TIMEOUT_S
+        + BACK_LOOK_S
+        + ANSWER_S
+        + SPARE_S
+    )
     return max(bounds.contact_s - rest, RETRY_LIMIT_S)
 
 
@@ -184,7 +190,7 @@
 _HEARD: Final = (_PAUSE, _ANSWER)
 _PASSED_ON: Final = (
     Delay("question of a follower", 2 * ASK_S),
-    Delay("fetch from the watcher", PULL_S),
+    Delay("fetch from the watcher", PULL_TIMEOUT_S),
 )
 
 
@@ -257,7 +263,13 @@
         PropagationPath(
             promise,
             "heard after others were asked for a missing entry",
-            (Delay("questions to other routers", ASKED * PULL_S), *heard),
+            (
+                Delay(
+                    "questions to other routers",
+                    ROUTERS_PER_PULL * PULL_TIMEOUT_S,
+                ),
+                *heard,
+            ),
             *drain,
         ),
         *_disturbed(promise, entries_watch_s(bounds), bounds),
@@ -403,7 +415,10 @@
             "store answers again",
             (
                 Delay("call that hangs", LOOK_S),
-                Delay("questions to other routers", ASKED * PULL_S),
+                Delay(
+                    "questions to other routers",
+                    ROUTERS_PER_PULL * PULL_TIMEOUT_S,
+                ),
                 Delay("longest pause in an outage", outage_pause_s(bounds)),
                 Delay("look whether the store is back", BACK_LOOK_S),
                 _ANSWER,
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -31,7 +31,7 @@
 )
 from lacewingdock.components.gateway.sizing import Pressure
 from lacewingdock.components.pacing import Pacer
-from lacewingdock.components.pacing.const import WAIT_PART
+from lacewingdock.components.pacing.const import MAX_WAIT_SHARE
 from lacewingdock.components.probes.prober import Prober
 from lacewingdock.components.shifts import VersionRule
 from lacewingdock.components.upstreams.choice import Chooser, Turn
@@ -239,7 +239,7 @@
         """Return the engine of the next attempt; None where there is none."""
         env, traffic = self.world.env, request.traffic
         unread = self._unread(request, cascade)
-        part = WAIT_PART * (1.0 - traffic.priority / (LAST_PRIORITY + 1))
+        part = MAX_WAIT_SHARE * (1.0 - traffic.priority / (LAST_PRIORITY + 1))
         by = request.end - MIN_LEFT_S
         if not progress.sent:
             by = min(by, env.now + traffic.goal_s * part)
--- a/tests/components/mirror/test_mirror.py
+++ b/tests/components/mirror/test_mirror.py
@@ -9,7 +9,7 @@
 from lacewingdock.components.mirror import Mirror
 from lacewingdock.components.mirror.copies import Copy
 from lacewingdock.components.mirror.health import StoreHealth
-from lacewingdock.components.mirror.listener import EachObject
+from lacewingdock.components.mirror.listener import PerObjectListener
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.sync import InstanceListener
 from lacewingdock.const import RAN_NO
@@ -292,7 +292,7 @@
 def test_objects_are_taken_one_by_one():
     """What is missing from a list is kept; only a removal drops it."""
     taken, dropped = [], []
-    found = EachObject(
+    found = PerObjectListener(
         lambda one: taken.append(one.name), lambda one: dropped.append(one.name)
     )
     for doubtful in (False, True):
--- a/tests/components/mirror/test_store_return.py
+++ b/tests/components/mirror/test_store_return.py
@@ -8,7 +8,7 @@
 from lacewingdock.components.mirror.copies import Copy
 from lacewingdock.components.mirror.health import StoreHealth
 from lacewingdock.components.mirror.history import ChangeHistory, differences
-from lacewingdock.components.mirror.listener import EachObject
+from lacewingdock.components.mirror.listener import PerObjectListener
 from lacewingdock.platform.eras import StoreEras
 from lacewingdock.platform.history import revision_of
 from lacewingdock.platform.object_api import HistoryGoneError
@@ -70,7 +70,7 @@
         "k",
         store,
         StoreHealth(2.0, clock=clock),
-        EachObject(taken.append),
+        PerObjectListener(taken.append),
         lambda *_: Copy(sure=False),
         random.Random(1),
         lambda: 0.0,
@@ -99,7 +99,7 @@
     copy = Copy(sure=True, snapshot=news, age_s=0.0)
 
     def overtake():
-        mirror.take_news(copy, 0, store.clock.now())
+        mirror.apply_update(copy, 0, store.clock.now())
 
     store.late = overtake
     store.snapshot = snapshot(1, 25, stored("a", 1, 25, "old"))
@@ -114,7 +114,9 @@
     Cause: a list below the known revision was dropped, whoever had told that.
     """
     mirror, store, _ = mirror_of(snapshot(1, 24, stored("a", 1, 24)))
-    assert mirror.vouch(revision_of(1, 24), revision_of(1, 9999), 10.0)
+    assert mirror.confirm_unchanged(
+        revision_of(1, 24), revision_of(1, 9999), 10.0
+    )
     assert mirror.revision == revision_of(1, 9999)
     store.snapshot = snapshot(1, 25, stored("a", 1, 25, "new"))
     store.clock.time += 0.1
@@ -138,7 +140,7 @@
 def test_word_of_another_router_is_of_an_era(changed, complete, has_all):
     mirror, _, _ = mirror_of(snapshot(1, 24, stored("a", 1, 24)))
     before = mirror.as_of
-    found = mirror.vouch(
+    found = mirror.confirm_unchanged(
         revision_of(*changed), revision_of(*complete), before + 5
     )
     assert found is has_all
--- a/tests/components/pacing/test_cold_instances.py
+++ b/tests/components/pacing/test_cold_instances.py
@@ -76,7 +76,7 @@
                 continue
             if due == math.inf:
                 break
-            one.sends(instance, due)
+            one.record_sent(instance, due)
             found.append(due + draw.uniform(0.0, WAY_S))
             at = due
     return sorted(found)
@@ -188,7 +188,7 @@
 def test_service_without_a_bound_is_not_held_back(limits):
     one = router("r-0", names_of(300), limits=limits)
     assert one.admits(cold("i"), 5.0)
-    one.sends(cold("i"), 5.0)
+    one.record_sent(cold("i"), 5.0)
     assert one.admits(cold("i"), 5.0)
 
 
--- a/tests/components/relay/test_port.py
+++ b/tests/components/relay/test_port.py
@@ -149,7 +149,7 @@
     site.send(encode(Voucher(watcher, number, [state])))
     wait(lambda: site.mirror.revision == 5, WAIT_S)
     assert time.monotonic() - site.mirror.as_of < WAIT_S
-    assert site.follower.kept_s(KIND) > 0
+    assert site.follower.fresh_for_s(KIND) > 0
     # News that it lacks is fetched, once.
     told = Voucher(watcher, 0, [KindState(mark_of(KIND), 9, 9, 0)])
     site.send(encode(told))
--- a/tests/components/routers/test_routers.py
+++ b/tests/components/routers/test_routers.py
@@ -65,7 +65,7 @@
 
     def __init__(self, *names):
         self.store = Store()
-        self.heard = []
+        self.statuses = []
         self.routers = {}
         for name in names:
             self.start(name, "1")
@@ -74,7 +74,7 @@
         """Start a router, or start it again."""
         entry = RouterEntry(f"{name}:1", incarnation)
         found = Routers(self.store, name, entry, lambda: (), random.Random(1))
-        found.heard = lambda router, status: self.heard.append(
+        found.on_status = lambda router, status: self.statuses.append(
             (name, router, status.losses)
         )
         self.routers[name] = found
@@ -92,11 +92,11 @@
     fleet = Fleet("r-1", "r-2")
     assert fleet.routers["r-1"].publish({"f": ["i-1"]})
     fleet.see("r-2")
-    assert fleet.heard == [("r-2", "r-1", {"f": ["i-1"]})]
+    assert fleet.statuses == [("r-2", "r-1", {"f": ["i-1"]})]
     # A further announcement keeps what was told.
     assert fleet.routers["r-1"].announce()
     fleet.see("r-2")
-    assert fleet.heard[-1] == ("r-2", "r-1", {"f": ["i-1"]})
+    assert fleet.statuses[-1] == ("r-2", "r-1", {"f": ["i-1"]})
 
 
 @pytest.mark.parametrize("shift_s", [0.0, 200.0, -200.0, 301.0, -301.0])
@@ -114,20 +114,20 @@
     fleet.start("r-1", "2")
     losses = {"f": ["i-1"]} if abs(shift_s) <= LOSSES_COUNT_S else {}
     fleet.see("r-2")
-    assert fleet.heard == [("r-2", "r-1", losses)]
-    fleet.heard.clear()
+    assert fleet.statuses == [("r-2", "r-1", losses)]
+    fleet.statuses.clear()
     fleet.see("r-1")
     fleet.see("r-1")
-    own = [one for one in fleet.heard if one[1] == "r-1"]
+    own = [one for one in fleet.statuses if one[1] == "r-1"]
     assert own == [("r-1", "r-1", losses)]
     # What this start tells goes in place of it.
     assert fleet.routers["r-1"].publish({"g": ["i-2"]})
-    fleet.heard.clear()
+    fleet.statuses.clear()
     fleet.see("r-1")
-    assert [one for one in fleet.heard if one[1] == "r-1"] == []
-    fleet.heard.clear()
+    assert [one for one in fleet.statuses if one[1] == "r-1"] == []
+    fleet.statuses.clear()
     fleet.see("r-2")
-    assert fleet.heard == [("r-2", "r-1", {"g": ["i-2"]})]
+    assert fleet.statuses == [("r-2", "r-1", {"g": ["i-2"]})]
 
 
 def test_status_without_a_time_of_an_earlier_start_is_void():
@@ -136,7 +136,7 @@
     told = {"incarnation": "0", "losses": {"f": ["i-1"]}}
     fleet.store.write_status(KIND_ROUTERS, "r-1", told, router.revision, "")
     fleet.see("r-2")
-    assert fleet.heard == [("r-2", "r-1", {})]
+    assert fleet.statuses == [("r-2", "r-1", {})]
 
 
 @pytest.mark.parametrize(
@@ -174,7 +174,7 @@
     key = (KIND_ROUTERS, "r-1")
     fleet.store.objects[key].status = status
     fleet.see("r-2")
-    assert fleet.heard == []
+    assert fleet.statuses == []
     assert fleet.routers["r-2"].count() == 2
 
 
--- a/tests/daemons/observed_router.py
+++ b/tests/daemons/observed_router.py
@@ -1,7 +1,7 @@
 """What a router in virtual time knows, and what it knew at each moment."""
 
 from lacewingdock.components.cordons import CordonListener
-from lacewingdock.components.mirror.listener import EachObject
+from lacewingdock.components.mirror.listener import PerObjectListener
 from lacewingdock.components.shifts.const import KIND_REPORTS
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.sync import InstanceListener
@@ -41,9 +41,9 @@
 
     def listeners(self):
         """Return what is told of each kind."""
-        nothing = EachObject(lambda _: None)
+        nothing = PerObjectListener(lambda _: None)
         found = {
-            KIND_CONFIGURATION: EachObject(self._configure),
+            KIND_CONFIGURATION: PerObjectListener(self._configure),
             KIND_INSTANCES: InstanceListener(self.directory),
             KIND_SHIFTS: nothing,
             KIND_REPORTS: nothing,
--- a/tests/daemons/relay_fleet.py
+++ b/tests/daemons/relay_fleet.py
@@ -8,10 +8,10 @@
 from lacewingdock.components.relay import Question, decode, encode
 from lacewingdock.components.relay.const import ASK_S
 from lacewingdock.components.routers import (
-    ASKED,
-    PULL_S,
-    copy_for,
-    newest_of,
+    PULL_TIMEOUT_S,
+    ROUTERS_PER_PULL,
+    build_copy,
+    merge_newest,
 )
 from lacewingdock.daemons.router_mirrors import (
     REPORTS_PAUSE_S,
@@ -144,7 +144,7 @@
             self.time,
         )
         for mirror in self.mirrors.values():
-            mirror.on_news = self._tell
+            mirror.on_change = self._tell
 
     def count(self):
         """Return how many routers there are, as `Routers` does."""
@@ -153,13 +153,13 @@
     def fetch(self, router, kind, revision):
         """Fetch news, as `Routers.fetch` does."""
         if not self.fleet.reaches(self.name, router):
-            self.time.sleep(PULL_S)
+            self.time.sleep(PULL_TIMEOUT_S)
             return None
         self.time.sleep(FETCH_S)
         other = self.fleet.routers[router]
         if kind in self.fleet.long_kinds:
             return Copy(not other.health.doubtful, too_long=True)
-        return copy_for(
+        return build_copy(
             other.mirrors[kind], other.health, revision, changes=True
         )
 
@@ -202,17 +202,19 @@
         """Ask two others for their copies, as `Routers.pull` does."""
         found = []
         others = sorted(self.entries.keys() - {self.name})
-        for name in self.draw.sample(others, min(ASKED, len(others))):
+        for name in self.draw.sample(
+            others, min(ROUTERS_PER_PULL, len(others))
+        ):
             if not self.fleet.reaches(self.name, name):
-                self.time.sleep(PULL_S)
+                self.time.sleep(PULL_TIMEOUT_S)
                 continue
             other = self.fleet.routers[name]
             found.append(
-                copy_for(
+                build_copy(
                     other.mirrors[kind], other.health, revision, changes=False
                 )
             )
-        return newest_of(found, revision)
+        return merge_newest(found, revision)
 
 
 def joined(one, other):
--- a/tests/daemons/test_router_mirrors.py
+++ b/tests/daemons/test_router_mirrors.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from lacewingdock.components.mirror.copies import Copy
-from lacewingdock.components.routers import ASKED, PULL_S
+from lacewingdock.components.routers import PULL_TIMEOUT_S, ROUTERS_PER_PULL
 from lacewingdock.daemons.router_mirrors import (
     REPORTS_PAUSE_S,
     Pace,
@@ -74,7 +74,7 @@
     def pull(self, kind, revision):
         """Answer with the newest copy, as `Routers.pull` does."""
         if self.silent:
-            self.time.sleep(ASKED * PULL_S)
+            self.time.sleep(ROUTERS_PER_PULL * PULL_TIMEOUT_S)
             return Copy(sure=False)
         now = self.time.now()
         outage = self.troubles.outage_at(now)
--- a/tests/daemons/test_router_timing.py
+++ b/tests/daemons/test_router_timing.py
@@ -89,7 +89,7 @@
     [
         ("CHANGES_PAUSE_S", 1.5),
         ("LOOK_S", 0.4),
-        ("ASKED", 1),
+        ("ROUTERS_PER_PULL", 1),
         ("RETRY_LIMIT_S", 0.4),
         ("CONNECT_S", 1.2),
         ("ANSWER_S", 0.9),
