--- a/lacewingdock/components/mirror/__init__.py
+++ b/lacewingdock/components/mirror/__init__.py
@@ -33,7 +33,7 @@
 # What a call may take that does not wait for news: three times the 0.36 s of a
 # store that answers ninety times as slowly as usual. A store that comes back
 # is seen this much later at most.
-LOOK_S: Final = 1.0
+POLL_TIMEOUT_S: Final = 1.0
 # The first pause after a failed call, and the longest. An outage ends for all
 # at once; a fleet that calls again within a fifth of a second of it stays
 # under the platform's rate of reads by the spread of the pauses.
@@ -355,7 +355,7 @@
         whole one: a configuration of many routes takes a second on the way.
         """
         if not self.waiting:
-            return LOOK_S
+            return POLL_TIMEOUT_S
         return WATCH_GRACE_S + max(self.wait_s() - wait_s, 0.0)
 
     def _take_changes(
@@ -406,7 +406,7 @@
         self._begin(waiting=False)
         # A router that starts is busy with itself, and has nothing to lose by
         # waiting for its first copy.
-        timeout_s = CALL_TIMEOUT_S if self.revision is None else LOOK_S
+        timeout_s = CALL_TIMEOUT_S if self.revision is None else POLL_TIMEOUT_S
         found = self.api.list_kind(
             self.kind, f"list-{self.kind}", timeout_s=timeout_s
         )
--- a/lacewingdock/daemons/router_timing.py
+++ b/lacewingdock/daemons/router_timing.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from lacewingdock.components.mirror import (
-    LOOK_S,
+    POLL_TIMEOUT_S,
     RETRY_LIMIT_S,
     RETRY_S,
     WATCH_GRACE_S,
@@ -121,7 +121,7 @@
 
 
 def _follow_limit_s(bound_s: float, disturbed_s: float) -> float:
-    silent_s = LOOK_S + RETRY_S + ANSWER_S + FOLLOW_SPARE_S
+    silent_s = POLL_TIMEOUT_S + RETRY_S + ANSWER_S + FOLLOW_SPARE_S
     return min(bound_s - ANSWER_S - FOLLOW_SPARE_S, disturbed_s - silent_s)
 
 
@@ -152,7 +152,7 @@
     store is back: an outage costs calls of a few routers, not of all.
     """
     rest = (
-        LOOK_S
+        POLL_TIMEOUT_S
         + ROUTERS_PER_PULL * PULL_TIMEOUT_S
         + BACK_LOOK_S
         + ANSWER_S
@@ -414,7 +414,7 @@
             promise,
             "store answers again",
             (
-                Delay("call that hangs", LOOK_S),
+                Delay("call that hangs", POLL_TIMEOUT_S),
                 Delay(
                     "questions to other routers",
                     ROUTERS_PER_PULL * PULL_TIMEOUT_S,
@@ -447,7 +447,7 @@
         Delay("look at the age", FOLLOW_SPARE_S),
     )
     again = (
-        Delay("call that hangs", LOOK_S),
+        Delay("call that hangs", POLL_TIMEOUT_S),
         Delay("pause after a failure", RETRY_S),
     )
     contact = within or ("contact", bounds.contact_s)
--- a/tests/daemons/test_router_timing.py
+++ b/tests/daemons/test_router_timing.py
@@ -88,7 +88,7 @@
     ("constant", "more_s"),
     [
         ("CHANGES_PAUSE_S", 1.5),
-        ("LOOK_S", 0.4),
+        ("POLL_TIMEOUT_S", 0.4),
         ("ROUTERS_PER_PULL", 1),
         ("RETRY_LIMIT_S", 0.4),
         ("CONNECT_S", 1.2),
