--- a/lacewingdock/components/mirror/__init__.py
+++ b/lacewingdock/components/mirror/__init__.py
@@ -1,8 +1,8 @@
-"""Support for mirroring kinds of the platform's objects.
+"""Watch cache for kinds of objects in the platform's store.
 
-Each kind has a task that lists it once and then watches it. While the
-platform's store does not answer this instance, the newest copy among other
-routers is taken instead: the store may serve them and turn this one away.
+A task per kind lists its objects once and then watches for changes. While the
+platform's store does not answer this router, the mirror applies the newest
+copy that other routers have: the store may still answer them.
 """
 
 import math
@@ -28,15 +28,15 @@
 )
 from lacewingdock.platform.objects import Changes, Snapshot, StoredObject
 
-# What a watch's answer may take after its wait.
+# Seconds that the answer to a watch may take beyond the time it waits.
 WATCH_GRACE_S: Final = 0.6
-# What a call may take that does not wait for news: three times the 0.36 s of a
-# store that answers ninety times as slowly as usual. A store that comes back
-# is seen this much later at most.
+# Timeout in seconds of a call that does not wait for changes: three times the
+# 0.36 s of a store that answers ninety times as slowly as usual. The return of
+# a store is detected at most this much later.
 POLL_TIMEOUT_S: Final = 1.0
-# The first pause after a failed call, and the longest. An outage ends for all
-# at once; a fleet that calls again within a fifth of a second of it stays
-# under the platform's rate of reads by the spread of the pauses.
+# First and longest backoff after a failed call, in seconds. An outage ends for
+# all routers at once; the jitter of the backoff keeps a fleet that retries
+# within 0.2 s of it below the platform's read rate.
 RETRY_S: Final = 0.1
 RETRY_LIMIT_S: Final = 0.5
 
@@ -44,45 +44,48 @@
 
 
 class Mirror:
-    """A copy of one kind of objects.
+    """A local copy of all objects of one kind.
 
     Attributes:
         kind: The kind.
-        api: The platform's store.
-        health: What is known of the store.
-        listener: Told of each change.
+        api: Client of the platform's store.
+        health: Availability of the store as this router observes it.
+        listener: Receives each change.
         pull: Returns the newest copy that other routers have beyond a
             revision.
         wait_s: Returns the seconds that a watch waits.
-        pause_s: Returns the seconds between two watches, for a kind that
-            changes often and may be seen later: each answer is a call.
+        pause_s: Returns the seconds between two watches. Longer for a kind
+            that changes often and may be applied later, since each answer
+            costs a call.
         objects: The objects by name.
         revision: Revision up to which the copy is complete; None at first.
-        ready: Set once there is a copy.
-        kept_s: Returns for how many seconds other routers keep the copy young
-            enough; 0 where this one must ask the store.
-        spared_s: Returns for how many seconds another call finds out whether
-            the store answers again; 0 where this one does.
-        renew_s: Returns how old the copy may grow, in seconds, by a watch that
-            waits: others may hang on it.
-        on_news: Called after each change.
+        ready: Set once the mirror has a copy.
+        fresh_for_s: Returns for how many seconds the reports of other routers
+            keep the copy fresh enough; 0 if this mirror must call the store.
+        defer_call_s: Returns the seconds for which this mirror leaves it to
+            another kind's call to detect the store's return; 0 if this mirror
+            must call.
+        renew_s: Returns the age in seconds that the copy may reach during a
+            waiting watch: other routers may depend on its freshness.
+        on_change: Called after each change.
         history: The last changes.
-        stale: Whether watches may be seconds behind; they cost a tenth.
-        clock: The time it goes by.
-        as_of: Moment of this router's clock for which the copy is known to be
-            complete.
-        unseen_s: Seconds for which the last changes may have gone unseen, where
-            no watch waited for them; 0 where one did, or at a start.
-        moved_at: When `revision` last grew.
-        following: Whether other routers kept the copy young until now.
-        called_at: When the last call began.
-        waiting: Whether that call waits for news.
-        broken: Whether it failed.
+        stale: Whether watches may read data that is seconds behind; such
+            watches cost a tenth.
+        clock: Source of time and of waits.
+        as_of: Time on this router's clock for which the copy is confirmed to
+            be complete.
+        unseen_s: Upper bound in seconds on how long the last changes went
+            unobserved; 0 after a waiting watch and after the first list.
+        moved_at: Time at which `revision` last grew.
+        following: Whether other routers have kept the copy fresh until now.
+        called_at: Time at which the last call began.
+        waiting: Whether that call waits for changes.
+        broken: Whether that call failed.
     """
 
     __slots__ = (
+        "_apply_lock",
         "_lock",
-        "_taking",
         "api",
         "as_of",
         "broken",
@@ -122,7 +125,7 @@
         pause_s: Callable[[], float] = lambda: 0.0,
         clock: Clock = STEADY,
     ) -> None:
-        """Take what it mirrors; `run` does it."""
+        """Build an empty mirror of a kind; `run` keeps it up to date."""
         self.kind = kind
         self.api = api
         self.health = health
@@ -149,40 +152,42 @@
         self.ready = threading.Event()
         self.pause = Backoff(RETRY_S, RETRY_LIMIT_S, source)
         self._lock = threading.Lock()
-        # Held while changes are taken in, by this task or another's word.
-        self._taking = threading.Lock()
+        # Serializes updates from this task and from other routers.
+        self._apply_lock = threading.Lock()
 
     def run(self, stopping: threading.Event) -> None:
-        """Mirror until the daemon stops."""
+        """Update the copy until the daemon stops."""
         while not stopping.is_set():
             if pause_s := self.round():
                 self.clock.wait(stopping, pause_s)
 
     def round(self) -> float:
-        """Ask the store once; return the seconds until the next time."""
+        """Update the copy once; return the seconds until the next round."""
         try:
             return self._round()
         except Exception:
-            # A task that died unseen would leave this router deaf to the
-            # kind for good.
+            # If the task died, this router would silently never apply a
+            # change of the kind again.
             log.exception("round failed", kind=self.kind)
             return self.pause.failed()
 
     def snapshot(self) -> Snapshot | None:
-        """Return the copy as it is."""
+        """Return the current copy; None before the first."""
         with self._lock:
             if self.revision is None:
                 return None
             return Snapshot(self.revision, dict(self.objects))
 
-    def news(self, after: int, *, sure: bool) -> Copy:
-        """Return what a router that has the copy of a revision lacks.
+    def updates_after(self, after: int, *, sure: bool) -> Copy:
+        """Return the changes that a copy of a revision lacks.
+
+        Returns the complete copy if the history does not reach back that far.
 
         Args:
-            after: The revision.
+            after: Revision of the other router's copy.
             sure: Whether this router's own calls reach the store.
         """
-        with self._taking:
+        with self._apply_lock:
             copy = Copy(sure)
             if self.revision is None:
                 return copy
@@ -196,8 +201,8 @@
             return copy
 
     def state(self) -> CopyAge | None:
-        """Return how complete the copy is, and since when."""
-        with self._taking:
+        """Return revision and freshness of the copy; None if unconfirmed."""
+        with self._apply_lock:
             if self.revision is None or self.as_of == -math.inf:
                 return None
             return CopyAge(self.history.changed, self.revision, self.as_of)
@@ -205,82 +210,84 @@
     def confirm_unchanged(
         self, changed: int, revision: int, as_of: float
     ) -> bool:
-        """Take another router's word that nothing changed.
+        """Apply another router's report that nothing changed.
 
         Args:
-            changed: Revision of the last change that it knows.
+            changed: Revision of the last change in its copy.
             revision: Revision up to which its copy is complete.
-            as_of: Moment of this router's clock for which it is.
+            as_of: Time on this router's clock for which that copy is complete.
 
         Returns:
-            Whether this copy has all that it has. In a later era it has what
-            this one lacks: that part of the history was lost.
+            Whether this copy has every change of the other copy. Never so if
+            the other copy is of a later era: the store came back from an older
+            copy then, and this one may hold objects that were lost.
         """
-        with self._taking:
+        with self._apply_lock:
             if self.revision is None or changed > self.revision:
                 return False
-            known, told = era_of(self.revision), era_of(revision)
-            if told != known:
-                return told < known
-            self._move(revision)
-            # Whatever the other copy has, this one has too.
+            known, received = era_of(self.revision), era_of(revision)
+            if received != known:
+                return received < known
+            self._advance(revision)
+            # This copy has every change of the other, so it is as fresh.
             self.as_of = max(self.as_of, as_of)
             return True
 
     def apply_update(self, copy: Copy, after: int, asked_at: float) -> None:
-        """Take another router's news.
+        """Apply the changes or the complete copy of another router.
 
         Args:
             copy: Its answer.
-            after: The revision that it was asked for.
-            asked_at: When it was asked.
+            after: Revision after which it was asked for changes.
+            asked_at: Time at which it was asked.
         """
         if copy.age_s is None:
             return
         as_of = asked_at - copy.age_s
-        told = copy.changes or copy.snapshot
-        if told is not None:
-            self.api.eras.heard(era_of(told.revision))
+        received = copy.changes or copy.snapshot
+        if received is not None:
+            self.api.eras.heard(era_of(received.revision))
         doubtful = self.health.doubtful or not copy.sure
         if copy.changes is not None:
-            self._take_changes(after, copy.changes, as_of, doubtful=doubtful)
+            self._apply_changes(after, copy.changes, as_of, doubtful=doubtful)
         elif copy.snapshot is not None:
-            self._take(copy.snapshot, as_of, sure=copy.sure)
+            self._apply_snapshot(copy.snapshot, as_of, sure=copy.sure)
 
     def _round(self) -> float:
         if rest_s := self.fresh_for_s():
-            self._follow()
+            self._rely_on_routers()
             return rest_s
         if rest_s := self.defer_call_s():
             return rest_s
         try:
-            self._ask_store()
+            self._call_store()
         except LacewingdockError as error:
-            # What was known stays; the next round asks again.
-            self._failed(error)
+            # The copy stays as it is; the next round retries.
+            self._record_failure(error)
             return self.pause.failed()
         self.broken = False
         self.following = False
         self.pause.succeeded()
         return self.pause_s()
 
-    def _follow(self) -> None:
-        """Leave the copy to others' word.
+    def _rely_on_routers(self) -> None:
+        """Rely on the freshness reports of other routers.
 
-        The connection goes: it may go silent while nobody uses it, and the
-        call that asks since their word is too old would hang on it.
+        Closes the connection to the store: an unused connection may go silent,
+        and the first call after the reports become too old would hang on it.
         """
         if not self.following:
             self.api.drop_connection(self.kind)
         self.following = True
 
-    def _failed(self, error: LacewingdockError) -> None:
-        """Count a failed call.
+    def _record_failure(self, error: LacewingdockError) -> None:
+        """Record a failed call; pull from other routers if the store is down.
 
-        A failed watch is followed by a call that does not wait, at once and
-        on a new connection: it tells a connection that went silent from a
-        store that does not answer, and whether the history is still there.
-        Watching on from the old revision instead hides changes for two watches.
+        A failed watch is followed at once by a call that does not wait, on a
+        new connection: that call distinguishes a silent connection from a
+        store that does not answer, and shows whether the history still exists.
+        A further watch from the old revision would hide changes for the time
+        of two watches.
         """
         log.info(
             "call failed",
@@ -291,14 +298,14 @@
         )
         self.broken = True
         if isinstance(error, EarlierEraError):
-            # The store answers; the next call is of its present era.
+            # The store answers; the next call uses its current era.
             return
         if not self.waiting:
             self.health.failed(self.kind, str(error), self.called_at)
-            self._ask_routers()
+            self._pull_from_routers()
 
-    def _ask_store(self) -> None:
-        """Make one call; two where the history is gone.
+    def _call_store(self) -> None:
+        """Watch for changes; list if there is no copy or its history is gone.
 
         Raises:
             LacewingdockError: The store gave no usable answer.
@@ -318,7 +325,7 @@
 
     def _watch(self, revision: int) -> None:
         wait_s = self._wait_s()
-        self._begin(waiting=wait_s > 0.0)
+        self._begin_call(waiting=wait_s > 0.0)
         found = self.api.watch_kind(
             self.kind,
             revision,
@@ -331,17 +338,19 @@
         doubtful = self.health.doubtful
         as_of = self.called_at
         if not found.changes and self.clock.now() >= as_of + wait_s:
-            # The store waited that long before it said that nothing changed.
+            # The store answers without changes only at the end of the wait, so
+            # the copy is complete up to that time.
             as_of += wait_s
-        taken = self._take_changes(revision, found, as_of, doubtful=doubtful)
+        taken = self._apply_changes(revision, found, as_of, doubtful=doubtful)
         removed = any(change.removed for change in found.changes)
         if taken and doubtful and removed:
-            self._ask_routers()
+            self._pull_from_routers()
 
     def _wait_s(self) -> float:
-        """Return how long the next watch waits for news.
+        """Return the seconds that the next watch waits for changes.
 
-        What others no longer keep young is looked at without waiting.
+        The first call after a failure does not wait, nor does the first call
+        after the reports of other routers became too old.
         """
         if self.broken or self.following:
             return 0.0
@@ -349,26 +358,28 @@
         return max(min(self.wait_s(), left_s), 0.0)
 
     def _grace_s(self, wait_s: float) -> float:
-        """Return what the answer of a watch may take after its wait.
+        """Return the seconds that a watch's answer may take beyond its wait.
 
-        A watch that waits less since others hang on it has the time of a
-        whole one: a configuration of many routes takes a second on the way.
+        A watch with a shortened wait, on which other routers depend, gets the
+        total time of a full one: a configuration of many routes takes a second
+        to transfer.
         """
         if not self.waiting:
             return POLL_TIMEOUT_S
         return WATCH_GRACE_S + max(self.wait_s() - wait_s, 0.0)
 
-    def _take_changes(
+    def _apply_changes(
         self, after: int, found: Changes, as_of: float, *, doubtful: bool
     ) -> bool:
-        """Take changes in that came after a revision.
+        """Apply the changes that came after a revision.
 
         Returns:
-            Whether they were taken. Where another task took newer ones in the
-            meantime they are left: taken again, an older state of an object
-            would come after a newer one. Who has less asks again.
+            Whether they were applied. They are dropped if another task applied
+            newer changes in the meantime, since an older state of an object
+            would replace a newer one, and if the copy is older than `after`;
+            the next call asks for the missing changes again.
         """
-        with self._taking:
+        with self._apply_lock:
             if self.revision is None or self.revision < after:
                 return False
             if found.changes and self.revision != after:
@@ -379,9 +390,9 @@
                         self.objects.pop(change.object.name, None)
                     else:
                         self.objects[change.object.name] = change.object
-            self._move(found.revision)
+            self._advance(found.revision)
             self.history.add(after, found)
-            self._note_unseen(waited=self.waiting)
+            self._record_unseen(waited=self.waiting)
             self.as_of = max(self.as_of, as_of)
             for change in found.changes:
                 self.listener.change(change, doubtful=doubtful)
@@ -389,43 +400,44 @@
             self.on_change()
         return True
 
-    def _move(self, revision: int) -> None:
-        """Note up to which revision the copy is complete."""
+    def _advance(self, revision: int) -> None:
+        """Advance the revision up to which the copy is complete."""
         with self._lock:
             if self.revision is None or revision > self.revision:
                 self.revision = revision
                 self.moved_at = self.clock.now()
 
-    def _note_unseen(self, *, waited: bool) -> None:
-        """Note how long ago what is taken now may have been written."""
+    def _record_unseen(self, *, waited: bool) -> None:
+        """Record how long ago the applied changes may have been written."""
         unseen_s = self.clock.now() - self.as_of
         is_known = unseen_s < math.inf and not waited
         self.unseen_s = unseen_s if is_known else 0.0
 
     def _list(self) -> None:
-        self._begin(waiting=False)
-        # A router that starts is busy with itself, and has nothing to lose by
-        # waiting for its first copy.
+        self._begin_call(waiting=False)
+        # A starting router is busy, and has no copy that would grow stale
+        # during a longer wait.
         timeout_s = CALL_TIMEOUT_S if self.revision is None else POLL_TIMEOUT_S
         found = self.api.list_kind(
             self.kind, f"list-{self.kind}", timeout_s=timeout_s
         )
         self.health.answered(self.kind)
         missing = self.objects.keys() - found.objects.keys()
-        self._take(found, self.called_at, began=self.called_at)
+        self._apply_snapshot(found, self.called_at, began=self.called_at)
         if missing and self.health.doubtful:
-            self._ask_routers()
+            self._pull_from_routers()
 
-    def _begin(self, *, waiting: bool) -> None:
-        """Note that a call begins."""
+    def _begin_call(self, *, waiting: bool) -> None:
+        """Record the start of a call."""
         self.waiting = waiting
         self.called_at = self.clock.now()
 
-    def _ask_routers(self) -> None:
-        """Take another router's copy, and whether the store answers it.
+    def _pull_from_routers(self) -> None:
+        """Apply another router's copy, and record if the store answers it.
 
-        Asked while the store does not answer, and where an entry is missing
-        soon after: a router that was cut off from all could not ask before.
+        Called while the store does not answer, and if an entry is missing
+        soon after: a router that was partitioned from the others too could
+        not ask them before.
         """
         asked_at = self.clock.now()
         copy = self.pull(self.kind, self.revision or 0)
@@ -436,14 +448,14 @@
             return
         self.api.eras.heard(era_of(found.revision))
         log.info(
-            "taken from a router",
+            "copy applied from another router",
             kind=self.kind,
             revision=shown(found.revision),
             before=shown(self.revision),
         )
-        self._take(found)
+        self._apply_snapshot(found)
 
-    def _take(
+    def _apply_snapshot(
         self,
         found: Snapshot,
         as_of: float = -math.inf,
@@ -451,22 +463,23 @@
         sure: bool = True,
         began: float = -math.inf,
     ) -> None:
-        """Take a whole copy in, unless a newer one is known.
+        """Replace the copy by a complete one, unless that one is older.
 
         Args:
-            found: The copy.
-            as_of: Moment for which it is known to be complete.
-            sure: Whether who has it does not doubt what is missing.
-            began: When the store was asked for it. What it says then is newer
-                than all that was known before, whatever its revision: else a
-                revision that it never had would keep its lists out for good.
+            found: The complete copy.
+            as_of: Time for which it is confirmed to be complete.
+            sure: Whether its source treats missing entries as removed.
+            began: Time at which the store was asked for it. The store's list
+                is newer than anything received before that time, whatever its
+                revision; otherwise a reported revision that the store never
+                had would block its lists forever.
         """
-        with self._taking:
+        with self._apply_lock:
             known = self.revision
             is_older = known is not None and found.revision < known
             if is_older and began <= self.moved_at:
                 log.info(
-                    "older copy passed over",
+                    "older copy ignored",
                     kind=self.kind,
                     revision=shown(found.revision),
                     known=shown(known),
@@ -482,7 +495,7 @@
             else:
                 changes = differences(before, found.objects)
                 self.history.add_list(known, Changes(found.revision, changes))
-            self._note_unseen(waited=False)
+            self._record_unseen(waited=False)
             self.as_of = max(self.as_of, as_of)
             doubtful = self.health.doubtful or not sure
             self.listener.replace(found, doubtful=doubtful)
--- a/lacewingdock/components/mirror/copies.py
+++ b/lacewingdock/components/mirror/copies.py
@@ -1,4 +1,4 @@
-"""Support for what routers tell each other of their copies."""
+"""Messages by which routers exchange their copies of a kind."""
 
 from dataclasses import dataclass
 
@@ -7,15 +7,18 @@
 
 @dataclass(slots=True)
 class Copy:
-    """What one router tells another of a kind of objects.
+    """One router's answer to another that asks for a kind of objects.
 
     Attributes:
-        sure: Whether its own calls reach the store and show whole lists.
-        snapshot: Its copy; None where it has none newer, or changes do.
-        changes: What changed after the revision that was asked for.
-        too_long: Whether what is newer must be had from the store: passed on
-            to each follower it would fill this router's link.
-        age_s: Seconds since the moment for which the store said what it is.
+        sure: Whether the answering router's own calls reach the store and
+            return complete lists.
+        snapshot: Its complete copy; None if it has no newer one, or if changes
+            suffice.
+        changes: Changes after the revision that was asked for.
+        too_long: Whether the asking router must get the changes from the store
+            instead: they are so long that sending them to each follower would
+            saturate the link of the answering router.
+        age_s: Seconds since the time for which the store confirmed the copy.
     """
 
     sure: bool
@@ -27,12 +30,13 @@
 
 @dataclass(slots=True, frozen=True)
 class CopyAge:
-    """How complete a copy is.
+    """Revision and freshness of a copy.
 
     Attributes:
         changed: Revision of its last change.
         revision: Revision up to which it is complete.
-        as_of: Moment of this router's clock for which it is known to be.
+        as_of: Time on this router's clock for which it is confirmed to be
+            complete.
     """
 
     changed: int
--- a/lacewingdock/components/mirror/health.py
+++ b/lacewingdock/components/mirror/health.py
@@ -1,4 +1,4 @@
-"""Support for knowing whether the platform's store answers."""
+"""Availability of the platform's store as this router observes it."""
 
 import math
 import threading
@@ -8,37 +8,38 @@
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
 
-# For how long another router's word counts that the store answers it. It is
-# asked again with each failed call: one second for the call, two halves for
-# two routers, and the pause.
+# Seconds for which another router's report that the store answers it is valid.
+# Each failed call asks again: one second for the call, half a second for each
+# of two routers, and the backoff.
 SERVED_OTHERS_S: Final = 2.5
 
 log = get_logger("mirror")
 
 
 class StoreHealth:
-    """What this instance's own calls show of the platform's store.
+    """Availability of the platform's store, judged by this router's calls.
 
     Attributes:
         settle_s: Seconds after the store's return in which its lists may
             still lack entries.
-        doubt_s: Returns how long after the beginning of the last failed call
-            that may be doubted at most.
-        restored_s: Returns how long after the last answer before the store's
-            return from a copy that may be doubted at most.
+        doubt_s: Returns the longest time in seconds, from the beginning of the
+            last failed call, for which missing entries may be doubted.
+        restored_s: Returns the longest time in seconds for which missing
+            entries may be doubted after the store's return from a backup, from
+            the last answer before that return.
         answered_at: Monotonic time of the last answer.
         restored_until: Monotonic time up to which lists may lack entries that
-            the store lost, and its copy may show older ones.
+            a restored store lost, and may show older versions of others.
         away: Whether the last call failed.
         failed_from: Monotonic time at which the last failed call began.
-        returned_at: Monotonic time of the last return.
+        returned_at: Monotonic time of the last return of the store.
         lost_at: Monotonic time at which the first failed call ended.
-        served_others_at: Latest moment for which another router says that
+        served_others_at: Latest time for which another router reports that
             the store answered it.
-        others_doubt: Returns whether the routers that this one takes its
-            news from doubt what is missing.
+        others_doubt: Returns whether the routers from which this one gets its
+            changes doubt missing entries.
         on_answer: Called with each answered call.
-        clock: The time it goes by.
+        clock: Source of time.
     """
 
     __slots__ = (
@@ -65,7 +66,7 @@
         clock: Clock = STEADY,
         restored_s: Callable[[], float] = lambda: math.inf,
     ) -> None:
-        """Start with a store that answers."""
+        """Build the state of a store that answers."""
         self.settle_s = settle_s
         self.doubt_s = doubt_s
         self.restored_s = restored_s
@@ -83,32 +84,32 @@
 
     @property
     def doubtful(self) -> bool:
-        """Whether a missing entry need not mean that something is gone.
-
-        Entries lapse while the store is away. Where it was this instance that
-        was cut off while others were served, nothing lapsed, and an entry that
-        is missing left.
-
-        Doubt ends before this router counts as undisturbed again: from then
-        on whatever left must get nothing. A call that failed was begun before
-        the disturbance ended, so its beginning is the moment to go by; the
-        return as this router sees it comes up to three seconds later, and
-        moves on with each call that fails late: going by it alone, instances
-        would get work after the bound.
+        """Whether a missing entry may belong to an instance that still runs.
+
+        Entries expire while the store is unavailable, as nobody can renew
+        them. If only this router was partitioned from the store, no entry
+        expired, and a missing entry means that its instance left.
+
+        Doubt must end before this router counts as undisturbed again: from
+        then on an instance that left must get no requests. Any failed call
+        began before the disturbance ended, so the bound is measured from its
+        beginning. The return that this router observes is up to three seconds
+        later, and later still with each call that fails late; with that time
+        alone, instances would get requests after the bound.
         """
         now = self.clock.now()
         if now < self.restored_until:
             return True
         since = now if self.away else self.returned_at
-        # What was answered before the first call failed says nothing: others
-        # may not have called since.
+        # An answer to another router before this router's first failed call
+        # proves nothing: that router may not have called since.
         if self.served_others_at > max(since - SERVED_OTHERS_S, self.lost_at):
             return False
         return self.doubt_left_s > 0.0 or self.others_doubt()
 
     @property
     def doubt_left_s(self) -> float:
-        """Seconds for which this router's own calls give reason to doubt."""
+        """Seconds for which this router's own calls cast doubt on lists."""
         if self.away:
             return math.inf
         over_at = self.restored_until
@@ -119,15 +120,15 @@
         return max(over_at - self.clock.now(), 0.0)
 
     def failed(self, kind: str, error: str, began: float) -> None:
-        """Count a failed call that did not wait for news.
+        """Record a failed call that did not wait for changes.
 
-        A watch that fails says nothing of the store: it may be cut at any
-        time, and its connection may have gone silent alone.
+        A failed watch proves nothing about the store: it may be cut off at any
+        time, and its connection alone may have gone silent.
 
         Args:
-            kind: The kind that was asked for.
-            error: How it failed.
-            began: Monotonic time at which it began.
+            kind: Kind of the requested objects.
+            error: Cause of the failure.
+            began: Monotonic time at which the call began.
         """
         with self._lock:
             lost = not self.away
@@ -139,15 +140,16 @@
             log.warning("store lost", kind=kind, error=error)
 
     def served_others(self, at: float) -> None:
-        """Note a moment at which the store answered another router."""
+        """Record a time at which the store answered another router."""
         with self._lock:
             self.served_others_at = max(self.served_others_at, at)
 
     def restored(self) -> None:
-        """Reckon with a store that is back from a copy.
+        """Record that the store is back from a backup, without later writes.
 
-        Its writers write again what it lost, within the same time as entries
-        that lapsed in an outage; a short one need not have shown otherwise.
+        Its writers repeat the lost writes within the same time as they renew
+        entries that expired in an outage. A short outage may show in no other
+        way than by this call.
         """
         with self._lock:
             settled_at = self.clock.now() + self.settle_s
@@ -156,7 +158,7 @@
             )
 
     def answered(self, kind: str) -> None:
-        """Count a call that was answered."""
+        """Record an answered call."""
         self.on_answer()
         with self._lock:
             self.answered_at = self.clock.now()
--- a/lacewingdock/components/mirror/history.py
+++ b/lacewingdock/components/mirror/history.py
@@ -1,4 +1,4 @@
-"""Support for handing on the changes of a copy instead of the whole copy."""
+"""History of a copy's changes, sent to other routers instead of the copy."""
 
 import itertools
 from collections import deque
@@ -9,19 +9,19 @@
 from lacewingdock.platform.history import have_same_count
 from lacewingdock.platform.objects import Change, Changes, StoredObject
 
-# Answers of the store whose changes are kept: who asks for news asks several
-# times a second, and changes are gathered for a quarter of one.
-KEPT: Final = 64
+# Batches of changes that are kept, one per answer of the store. Followers ask
+# several times a second, and a batch collects the changes of 0.25 s.
+MAX_BATCHES: Final = 64
 
 
 @dataclass(slots=True, frozen=True)
 class _Batch:
-    """Changes that came together.
+    """Changes that arrived in one answer of the store.
 
     Attributes:
-        first: Revision of the first one at the earliest.
-        last: Revision of the last one at the latest.
-        changes: The changes.
+        first: Lower bound on the revision of the first change.
+        last: Upper bound on the revision of the last change.
+        changes: The changes, in order.
     """
 
     first: int
@@ -30,26 +30,26 @@
 
 
 class ChangeHistory:
-    """The last changes of a copy.
+    """The most recent changes of a copy.
 
     Attributes:
-        base: Revision from which no change is missing.
+        base: Revision after which the history contains every change.
     """
 
     __slots__ = ("_batches", "base")
 
     def __init__(self, base: int = 0) -> None:
-        """Start without changes, with a copy of a revision."""
+        """Build an empty history that starts at a copy's revision."""
         self.base = base
         self._batches: deque[_Batch] = deque()
 
     @property
     def changed(self) -> int:
-        """Revision of the newest change; of the whole copy where none came."""
+        """Revision of the newest change; `base` without changes."""
         return self._batches[-1].last if self._batches else self.base
 
     def add(self, after: int, found: Changes) -> None:
-        """Add the changes that came after a revision."""
+        """Append the changes that came after a revision."""
         if not found.changes:
             return
         revisions = [_revision(one, after) for one in found.changes]
@@ -58,11 +58,11 @@
         self._append(_Batch(first, last, found.changes))
 
     def add_list(self, after: int, found: Changes) -> None:
-        """Add how a whole list differs from a copy of a revision.
+        """Append the differences between a copy and the list after it.
 
-        Only who has that very copy can go on by the differences: between two
-        revisions, or beyond the copy's in a history that the store lost, an
-        object may have come that the copy never showed.
+        Only a holder of exactly that copy can apply the differences. A copy of
+        another revision, in between or from a history that the store lost, may
+        hold an object that this router's copy never had.
         """
         if found.revision > after:
             first = after + 1
@@ -70,15 +70,14 @@
 
     def _append(self, batch: _Batch) -> None:
         self._batches.append(batch)
-        if len(self._batches) > KEPT:
+        if len(self._batches) > MAX_BATCHES:
             self.base = self._batches.popleft().last
 
     def since(self, revision: int) -> list[Change] | None:
         """Return the changes after a revision; None where some are missing.
 
-        A revision in the middle of changes that came together is no place to
-        go on from: an object that was removed and written again would be
-        removed after it was written.
+        Changes are also incomplete for a revision inside a batch: an object
+        that was removed and written again would be removed after its write.
         """
         if revision < self.base:
             return None
@@ -89,9 +88,9 @@
 
 
 def _revision(change: Change, after: int) -> int:
-    """Return the revision of a change; 0 where it does not say it.
+    """Return the revision of a change; 0 if the change does not hold it.
 
-    A removed object may bear the revision of its last write.
+    A removed object may have the revision of its last write instead.
     """
     revision = change.object.revision
     return revision if revision > after else 0
@@ -100,15 +99,16 @@
 def differences(
     before: Mapping[str, StoredObject], found: Mapping[str, StoredObject]
 ) -> list[Change]:
-    """Return how a list differs from the copy before it.
+    """Return the changes between a copy and a later list.
 
     Args:
-        before: The copy's objects by name.
-        found: The list's.
+        before: Objects of the copy by name.
+        found: Objects of the list by name.
 
     Returns:
-        The changes; one that is missing from the list need not have been
-        removed. What stands as it was in an earlier era is no change.
+        The changes. An object that the list lacks is marked as unlisted, since
+        it need not have been removed. An object with the same content and
+        count as in an earlier era is no change.
     """
     changes = [
         Change(stored, removed=True, unlisted=True)
--- a/lacewingdock/components/mirror/listener.py
+++ b/lacewingdock/components/mirror/listener.py
@@ -1,4 +1,4 @@
-"""Support for what is told of each change of a kind of objects."""
+"""Listeners that receive the changes of a kind of objects."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,24 +7,24 @@
 
 
 class Listener(Protocol):
-    """What a mirror tells of its kind."""
+    """Receives each change of the kind that a mirror copies."""
 
     def replace(self, snapshot: Snapshot, *, doubtful: bool) -> None:
-        """Take a whole list in."""
+        """Apply a complete list; if doubtful, missing entries may still run."""
 
     def change(self, change: Change, *, doubtful: bool) -> None:
-        """Take one change in."""
+        """Apply one change; if doubtful, a removed entry may still run."""
 
 
 class PerObjectListener:
-    """Takes objects one by one, whatever the state of the store.
+    """Passes each object to a callback, regardless of the store's state.
 
-    For kinds whose objects do not lapse: one that is missing from a list is
-    kept, and one that was removed was removed.
+    For kinds whose objects do not expire: an object that is missing from a
+    list is kept, and a removal is always real.
 
     Attributes:
-        take: Takes an object that is there.
-        drop: Takes one that was removed.
+        take: Called with each object that was listed or written.
+        drop: Called with each object that was removed.
     """
 
     __slots__ = ("drop", "take")
@@ -34,18 +34,18 @@
         take: Callable[[StoredObject], None],
         drop: Callable[[StoredObject], None] = lambda _: None,
     ) -> None:
-        """Take where the objects go."""
+        """Build a listener from its callbacks."""
         self.take = take
         self.drop = drop
 
     def replace(self, snapshot: Snapshot, *, doubtful: bool) -> None:
-        """Take a whole list in."""
+        """Pass on each object of a complete list."""
         del doubtful
         for stored in snapshot.objects.values():
             self.take(stored)
 
     def change(self, change: Change, *, doubtful: bool) -> None:
-        """Take one change in."""
+        """Pass on one change, unless its object is merely unlisted."""
         del doubtful
         if change.unlisted:
             return
--- a/lacewingdock/components/pacing/__init__.py
+++ b/lacewingdock/components/pacing/__init__.py
@@ -1,21 +1,22 @@
-"""Support for sending an instance no more than it takes of all routers.
-
-An instance that has just started is cold for some seconds: it bears a number
-of requests a second then and crashes under many more. One in need names a
-limit in its answers. Both are bounds on all routers together, and an idle
-instance is what each router likes best: without a bound, all of a fleet choose
-it in the same moment.
-
-No router asks another. Each spaces its requests to such an instance out, so
-that the sum stays below the bound in any span, also where routers are cut off
-or have all started again. Where that would leave a router less than one in a
-span, some of them have a share of each instance, on which all agree that know
-the same routers, with room for those that do not; the others leave the
-instance to them. Of a limit only the instance's own answers tell that it is
-over, so the others too ask it, at long intervals.
-
-What an instance asks of this router alone is simpler: after a rest that it
-wanted, requests go there one at a time until one is served.
+"""Distributed rate limiting of requests to single instances.
+
+An instance that has just started is cold for some seconds: it can serve only a
+certain rate of requests then, and crashes under many more. An overloaded
+instance names a rate limit in its answers. Both are bounds on the sum of all
+routers' requests. Every router prefers an idle instance, so without a bound
+the whole fleet would choose it at once.
+
+Routers do not coordinate. Each one spaces its requests to such an instance so
+that the sum stays below the bound in any time window, even if routers are
+partitioned or have all restarted. If that would leave a router less than one
+request per window, only some routers have a share of each instance. All
+routers with the same view of the fleet agree on these by consistent hashing,
+and the shares leave room for differing views. The other routers do not send to
+a cold instance. The end of a limit shows only in the instance's own answers,
+so they probe a limited instance at long intervals.
+
+A rest is the backoff that an instance asks of this router alone, with
+Retry-After. After it, requests go there one at a time until one is served.
 """
 
 import math
@@ -30,10 +31,14 @@
     LIMIT_SPAN_S,
     MAX_REMEMBERED,
     RETURN_GAP_S,
-    RING_S,
+    RING_REFRESH_S,
 )
 from lacewingdock.components.pacing.ring import Ring
-from lacewingdock.components.pacing.shares import Allowance, Shares, shares
+from lacewingdock.components.pacing.shares import (
+    Allowance,
+    Shares,
+    compute_shares,
+)
 from lacewingdock.components.upstreams.instance import Instance
 from lacewingdock.helpers.recent import remember
 from lacewingdock.world.host import Bounds
@@ -41,12 +46,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bound:
-    """A bound on the requests to an instance.
+class RateBound:
+    """A bound on the rate of requests to an instance.
 
     Attributes:
-        allowance: What it takes.
-        since: Monotonic time from which that holds.
+        allowance: Rate and number of requests that the instance accepts.
+        since: Monotonic time from which the bound holds.
     """
 
     allowance: Allowance
@@ -54,15 +59,16 @@
 
 
 class Pacer:
-    """Says when this router may send to an instance that takes few requests.
+    """Schedules this router's requests to instances with a rate bound.
 
     Attributes:
         name: This router's name.
         names: Returns the names of the other routers.
-        known: Returns whether it knows the other routers; before, it has no
-            share of anything.
-        limits: Returns what a service's instances bear; None if not known.
-        bounds: Returns what the router is held to.
+        known: Returns whether the other routers are listed yet; before that,
+            this router has no share of any instance.
+        limits: Returns the limits of a service's instances; None if the
+            service is not configured.
+        bounds: Returns the bounds of the platform's profile.
         started: Monotonic time of this router's start.
     """
 
@@ -87,7 +93,7 @@
         bounds: Callable[[], Bounds],
         started: float,
     ) -> None:
-        """Take the parts; no instance takes few before it is said."""
+        """Build a pacer for one router that has sent no requests yet."""
         self.started = started
         self.name = name
         self.names = names
@@ -96,11 +102,12 @@
         self.bounds = bounds
         self._ring = Ring((name,))
         self._ring_until = 0.0
-        # The latest turn, which may be yet to come, by instance start.
+        # Time of the last reserved request, possibly in the future, by the
+        # instance's incarnation.
         self._sent_at: dict[str, float] = {}
 
     def admits(self, instance: Instance, now: float) -> bool:
-        """Whether a request may be sent to an instance now."""
+        """Return whether a request may be sent to an instance now."""
         if not instance.takes_any(now):
             return False
         return not instance.takes_few(now) or self.due_at(instance, now) <= now
@@ -109,21 +116,21 @@
         """Return when this router may next send to an instance.
 
         Returns:
-            A monotonic time; infinity where it has no share.
+            A monotonic time; infinity if this router has no share.
         """
         due = [
             self._due_at(instance, bound, now)
             for bound in self._bounds_of(instance, now)
         ]
         if now < instance.rest.careful_until:
-            due.append(self._back_at(instance, now))
+            due.append(self._return_due_at(instance, now))
         return max(due, default=now)
 
     def others_gap_s(self, instance: Instance, now: float) -> float:
-        """Return within how long some router has a turn at an instance.
+        """Return the time within which some router may send to an instance.
 
         Returns:
-            Seconds; infinity where its bound ends without being asked.
+            Seconds; infinity if no bound needs an answer to end.
         """
         return min(
             (
@@ -135,40 +142,44 @@
         )
 
     def record_sent(self, instance: Instance, at: float) -> None:
-        """Count a request that goes to an instance at a moment."""
+        """Record a request that is sent to an instance at a given time."""
         if not instance.takes_few(at):
             return
         start = instance.entry.incarnation
         remember(self._sent_at, start, at, MAX_REMEMBERED)
 
-    def _bounds_of(self, instance: Instance, now: float) -> list[Bound]:
-        """Return the bounds on an instance; none where it takes any number."""
+    def _bounds_of(self, instance: Instance, now: float) -> list[RateBound]:
+        """Return the rate bounds on an instance, if any."""
         found = []
-        if instance.is_cold(now) and (cold := self._of_cold(instance)):
-            found.append(Bound(cold, instance.cold_from))
+        if instance.is_cold(now) and (cold := self._cold_allowance(instance)):
+            found.append(RateBound(cold, instance.cold_from))
         per_s = instance.limit.at(now)
         if per_s is not None:
-            most = per_s * LIMIT_SPAN_S * LIMIT_OVERAGE + LIMIT_EXTRA
-            named = Allowance(per_s, most, LIMIT_SPAN_S, ends_by_answer=True)
-            found.append(Bound(named, instance.limit.since))
+            max_arrivals = per_s * LIMIT_SPAN_S * LIMIT_OVERAGE + LIMIT_EXTRA
+            named = Allowance(
+                per_s, max_arrivals, LIMIT_SPAN_S, ends_by_answer=True
+            )
+            found.append(RateBound(named, instance.limit.since))
         return found
 
-    def _of_cold(self, instance: Instance) -> Allowance | None:
-        """Return what a cold instance bears; None where that is any number."""
+    def _cold_allowance(self, instance: Instance) -> Allowance | None:
+        """Return the allowance of a cold instance; None without a limit."""
         limits = self.limits(instance.entry.service)
         if limits is None or not limits.cold_per_s:
             return None
         per_s, bounds = limits.cold_per_s, self.bounds()
-        most = per_s * bounds.cold_overage + bounds.cold_extra
-        return Allowance(per_s, most, COLD_SPAN_S)
+        max_arrivals = per_s * bounds.cold_overage + bounds.cold_extra
+        return Allowance(per_s, max_arrivals, COLD_SPAN_S)
 
-    def _due_at(self, instance: Instance, bound: Bound, now: float) -> float:
-        """Return when this router may next send by one of the bounds."""
+    def _due_at(
+        self, instance: Instance, bound: RateBound, now: float
+    ) -> float:
+        """Return when one of the bounds next lets this router send."""
         if not self.known():
             return math.inf
         found = self._shares(bound)
-        shares_it = self._is_near(instance, found.routers, now)
-        gap_s = found.gap_s if shares_it else found.rest_gap_s
+        shares_it = self._has_share(instance, found.routers, now)
+        gap_s = found.gap_s if shares_it else found.probe_gap_s
         if gap_s == math.inf:
             return math.inf
         first = self._first_due(instance, bound.since, gap_s)
@@ -179,17 +190,17 @@
     ) -> float:
         """Return when the first request may be sent to an instance.
 
-        Routers take their first turns one after the other. All at once, with
-        what was sent before all of them started again, would be twice what may
-        arrive in a span.
+        The first requests of the routers are staggered. If all came at once,
+        right after a restart of all routers, they would add to the requests
+        from before it and reach twice the bound in a window.
         """
         return max(since, self.started) + self._phase(instance) * gap_s
 
-    def _back_at(self, instance: Instance, now: float) -> float:
+    def _return_due_at(self, instance: Instance, now: float) -> float:
         """Return when this router may send to an instance after its rest.
 
-        Routers that it turned away together come back one after the other,
-        and each with one request, since it may turn that away as well.
+        Routers that were refused at the same time return in a staggered way,
+        each with a single request, since the instance may refuse that too.
         """
         rest = instance.rest
         first = rest.until + self._phase(instance) * rest.return_s
@@ -199,19 +210,19 @@
         return self._sent_at.get(instance.entry.incarnation, -math.inf)
 
     def _phase(self, instance: Instance) -> float:
-        """Return this router's part of a span that routers divide, from 0."""
+        """Return this router's offset for an instance, from 0 to below 1."""
         digest = zlib.crc32(f"{self.name} {instance.mark}".encode())
         return digest / 2**32
 
-    def _shares(self, bound: Bound) -> Shares:
-        """Return how the requests to an instance are shared."""
-        return shares(bound.allowance, len(self.names()) + 1)
+    def _shares(self, bound: RateBound) -> Shares:
+        """Return how the routers divide an instance's allowance."""
+        return compute_shares(bound.allowance, len(self.names()) + 1)
 
-    def _is_near(self, instance: Instance, sharing: int, now: float) -> bool:
-        """Whether this router is among those that have a share."""
+    def _has_share(self, instance: Instance, sharing: int, now: float) -> bool:
+        """Return whether this router is among those with a share."""
         if now >= self._ring_until:
             names = frozenset(self.names()) | {self.name}
             if names != self._ring.index.keys():
                 self._ring = Ring(names)
-            self._ring_until = now + RING_S
-        return self._ring.is_near(self.name, instance.mark, sharing)
+            self._ring_until = now + RING_REFRESH_S
+        return self._ring.has_share(self.name, instance.mark, sharing)
--- a/lacewingdock/components/pacing/ring.py
+++ b/lacewingdock/components/pacing/ring.py
@@ -1,4 +1,4 @@
-"""Support for the routers that share something, as all of them see it."""
+"""Consistent hashing of routers, to agree on those with a share."""
 
 import bisect
 import hashlib
@@ -6,33 +6,33 @@
 
 
 class Ring:
-    """Routers on a ring by their digests (consistent hashing).
+    """Routers on a consistent hashing ring.
 
-    Those that follow an instance's place have a share of it. Two rings that
-    differ in some routers differ by about as many of them, and a place is
-    found without a look at all routers: after a loss of power all instances
-    are cold.
+    The routers that follow an instance's position have a share of it. Views of
+    the fleet that differ in a few routers give shares that differ in about as
+    many. A position is found by binary search and not by a scan of all
+    routers: after a power loss all instances are cold at once.
 
     Attributes:
-        places: The routers' places, in order.
-        index: Where each router stands among them.
+        places: Positions of the routers, in ascending order.
+        index: Index of each router's position in `places`, by name.
     """
 
     __slots__ = ("index", "places")
 
     def __init__(self, names: Collection[str]) -> None:
-        """Place the routers."""
+        """Build the ring of the named routers."""
         ranked = sorted((_digest(name), name) for name in names)
         self.places = [place for place, _ in ranked]
         self.index = {name: at for at, (_, name) in enumerate(ranked)}
 
-    def is_near(self, name: str, mark: int, count: int) -> bool:
-        """Whether a router is among so many that follow a place.
+    def has_share(self, name: str, mark: int, count: int) -> bool:
+        """Return whether a router is among those that follow a position.
 
         Args:
-            name: The router.
-            mark: The place: digest of an instance's start.
-            count: How many.
+            name: Name of the router.
+            mark: The position: digest of an instance's start.
+            count: Number of routers that have a share.
         """
         first = bisect.bisect_left(self.places, mark)
         return (self.index[name] - first) % len(self.places) < count
--- a/lacewingdock/components/pacing/shares.py
+++ b/lacewingdock/components/pacing/shares.py
@@ -1,98 +1,104 @@
-"""Support for sharing what an instance takes among routers."""
+"""Division of an instance's allowed requests among routers."""
 
 import functools
 import math
 from dataclasses import dataclass
 
 from lacewingdock.components.pacing.const import (
-    COLD_PART,
-    LEAST_PER_S,
-    NEWCOMERS,
-    REST_PART,
-    REST_ROOM,
-    VIEWS,
-    WAY_S,
+    COLD_SHARE,
+    MAX_TRANSIT_S,
+    MIN_PER_S,
+    NEWCOMER_FACTOR,
+    PROBE_RESERVE,
+    PROBE_SHARE,
+    VIEW_FACTOR,
 )
 
 
 @dataclass(slots=True, frozen=True)
 class Allowance:
-    """What an instance takes from all routers together.
+    """Requests that an instance accepts from all routers together.
 
     Attributes:
-        per_s: Requests a second, over many seconds.
-        most: Requests that may reach it in any span of that length.
-        span_s: Length of that span, in seconds.
-        ends_by_answer: Whether only its answers tell that this is over, so
-            that each router must ask it now and then.
+        per_s: Average rate in requests a second.
+        max_arrivals: Requests that may arrive in any window of `span_s`.
+        span_s: Length of the window, in seconds.
+        ends_by_answer: Whether only the instance's answers show the end of the
+            bound, so that each router must probe it at intervals.
     """
 
     per_s: float
-    most: float
+    max_arrivals: float
     span_s: float
     ends_by_answer: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Shares:
-    """How an allowance is shared.
+    """Division of an allowance among routers.
 
     Attributes:
-        routers: How many routers have a share.
-        gap_s: Seconds between two requests of one of them.
-        rest_gap_s: Seconds between two requests of each other router;
-            infinity where those send none.
+        routers: Number of routers with a share.
+        gap_s: Seconds between two requests of a router with a share.
+        probe_gap_s: Seconds between two requests of a router without a share;
+            infinity if such routers send none.
     """
 
     routers: int
     gap_s: float
-    rest_gap_s: float
+    probe_gap_s: float
 
 
 @functools.lru_cache
-def shares(allowance: Allowance, routers: int) -> Shares:
-    """Return how an allowance is shared.
+def compute_shares(allowance: Allowance, routers: int) -> Shares:
+    """Return how routers divide an allowance.
 
-    Requests of one router that are sent a gap apart may arrive closer by what
-    the way takes. So in any span there arrive as many of one router as gaps
-    fit into the span and that way.
+    Two requests that a router sends a gap apart may arrive closer together, by
+    up to `MAX_TRANSIT_S`. So the requests of one router that arrive in a window
+    are the gaps that fit into the window plus that time.
 
     Args:
-        allowance: What the instance takes.
-        routers: How many routers there are.
+        allowance: Requests that the instance accepts.
+        routers: Number of routers in the fleet.
     """
-    per_s = max(allowance.per_s, LEAST_PER_S)
+    per_s = max(allowance.per_s, MIN_PER_S)
     routers = max(routers, 1)
-    most, sharing = allowance.most, routers
-    if routers * NEWCOMERS > most:
+    max_arrivals, sharing = allowance.max_arrivals, routers
+    if routers * NEWCOMER_FACTOR > max_arrivals:
         if allowance.ends_by_answer:
-            most -= 1.0 + REST_ROOM * most
-        sharing = max(math.floor(_sharing(most)), 1)
-    senders = min(routers * NEWCOMERS, sharing * VIEWS + math.sqrt(sharing))
-    each = max(math.floor(most / senders), 1)
-    pace = per_s * _pace_part(allowance, has_rest=sharing < routers)
-    gap_s = max((allowance.span_s + WAY_S) / each, sharing / pace)
-    rest_gap_s = math.inf
+            max_arrivals -= 1.0 + PROBE_RESERVE * max_arrivals
+        sharing = max(math.floor(_max_sharing(max_arrivals)), 1)
+    senders = min(
+        routers * NEWCOMER_FACTOR, sharing * VIEW_FACTOR + math.sqrt(sharing)
+    )
+    each = max(math.floor(max_arrivals / senders), 1)
+    pace = per_s * _pace_part(allowance, has_probers=sharing < routers)
+    gap_s = max((allowance.span_s + MAX_TRANSIT_S) / each, sharing / pace)
+    probe_gap_s = math.inf
     if allowance.ends_by_answer:
-        rest_gap_s = max((routers - sharing) / (REST_PART * per_s), gap_s)
-    return Shares(sharing, gap_s, rest_gap_s)
+        probe_gap_s = max((routers - sharing) / (PROBE_SHARE * per_s), gap_s)
+    return Shares(sharing, gap_s, probe_gap_s)
 
 
-def _pace_part(allowance: Allowance, *, has_rest: bool) -> float:
-    """Return what part of an allowance the routers with a share send.
+def _pace_part(allowance: Allowance, *, has_probers: bool) -> float:
+    """Return the share of the rate that routers with a share send.
 
-    A limit is what an instance takes, of a cold one it is where it may crash.
+    An instance accepts the full rate of a limit that it names; a cold instance
+    may crash at its full rate.
     """
     if not allowance.ends_by_answer:
-        return COLD_PART
-    return 1.0 - REST_PART if has_rest else 1.0
+        return COLD_SHARE
+    return 1.0 - PROBE_SHARE if has_probers else 1.0
 
 
-def _sharing(most: float) -> float:
-    """Return how many routers may have a share where each sends one request.
+def _max_sharing(max_arrivals: float) -> float:
+    """Return how many routers may have a share if each sends one request.
 
-    Of so many by one view of the fleet there are `VIEWS` times as many by all
-    views, and as many more as these differ by chance: about the root.
+    For n routers with a share in one view of the fleet, up to n *
+    `VIEW_FACTOR` + sqrt(n) have one in any view; the root covers the random
+    variation between views.
     """
-    root = (math.sqrt(1.0 + 4.0 * VIEWS * most) - 1.0) / (2.0 * VIEWS)
+    root = (math.sqrt(1.0 + 4.0 * VIEW_FACTOR * max_arrivals) - 1.0) / (
+        2.0 * VIEW_FACTOR
+    )
     return root * root
--- a/lacewingdock/components/routers/__init__.py
+++ b/lacewingdock/components/routers/__init__.py
@@ -1,8 +1,8 @@
-"""Support for routers to find each other and to share what they mirror.
+"""Discovery of other routers, and exchange of mirrored copies with them.
 
-Each router keeps an object with its address in the platform's store. Others
-ask it for its copy of a kind of objects while the store does not answer
-them. Nothing is asked while it does, so it costs nothing on a calm day.
+Each router registers its address as an object in the platform's store. While
+the store does not answer a router, that router asks others for their copies of
+a kind of objects. While the store answers, no such requests are made.
 """
 
 import math
@@ -43,27 +43,30 @@
     host_of,
 )
 
-# How long a copy is waited for: a round trip and the copy's size; a router
-# that is gone does not answer at all.
+# Timeout in seconds of a request for a copy: a round trip and the transfer. A
+# router that is gone does not answer at all.
 PULL_TIMEOUT_S: Final = 0.5
-# Routers asked in one round: the second is for the case that the first is
-# gone or as cut off as the one that asks.
+# Routers asked in one round: the second in case the first is gone, or is
+# partitioned from the store as well.
 ROUTERS_PER_PULL: Final = 2
-# Longest news that are passed on to followers: all of a group fetch at once,
-# and what fills a watcher's link comes into force seconds late on some.
-MAX_NEWS_BYTES: Final = 32 * 1024
-# Longest copy that is read: 6,500 upstream entries of 1 KB, and as much again.
+# Longest encoded changes that are sent to followers, in bytes: all followers of
+# a group fetch at once, and changes that saturate a watcher's link reach some
+# of them seconds late.
+MAX_CHANGES_BYTES: Final = 32 * 1024
+# Longest copy that is read, in bytes: 6,500 upstream entries of 1 KB, and as
+# much again.
 MAX_COPY_BYTES: Final = 16 * 1024 * 1024
-# How often a router announces itself again, at the latest: at 1,200 routers
-# about three writes a second, under a hundredth of the platform's.
+# Longest time in seconds between two announcements of a router: with 1,200
+# routers these are about three writes a second, under a hundredth of the
+# platform's rate.
 ANNOUNCE_EVERY_S: Final = 600.0
-# A router that did not for so long is gone: several announcements that failed,
-# and clocks that are wrong by minutes.
+# Seconds without an announcement after which a router is gone: this allows for
+# several failed announcements and for clocks that are wrong by minutes.
 GONE_AFTER_S: Final = 3600.0
-# What an earlier start of a router told counts for so long: it may name
-# instances and requests of another day.
-LOSSES_COUNT_S: Final = 300.0
-# Connections from other routers served at once.
+# Seconds for which the status from an earlier start of a router stays valid: an
+# older one may name instances and requests that no longer exist.
+LOSSES_VALID_S: Final = 300.0
+# Connections from other routers that are served at once.
 MAX_CONNECTIONS: Final = 64
 _LIMITS: Final = CallerLimits(read_s=1.0, idle_s=2.0)
 
@@ -72,52 +75,54 @@
 
 @dataclass(slots=True)
 class RouterStatus:
-    """What a router tells all others through the store.
+    """Status that a router publishes to all others through the store.
 
     Attributes:
-        incarnation: The start that tells it; an object outlives it.
-        losses: Instances at which requests were lost, by fingerprint.
-        told_at: Unix time at which it was told, in seconds; 0 where not said.
+        incarnation: Incarnation of the router that wrote the status; the stored
+            object outlives it.
+        losses: Instances that lost a request, by the request's fingerprint.
+        told_at: Unix time of the write, in seconds; 0 if not given.
     """
 
     incarnation: str
     losses: dict[str, list[str]] = field(default_factory=dict)
     told_at: int = 0
 
-    def counts_for(self, incarnation: str, now: float) -> bool:
-        """Whether it counts at a start of its router.
+    def is_valid_for(self, incarnation: str, now: float) -> bool:
+        """Return whether the status is valid for an incarnation.
 
-        What an earlier start told still does: when all routers end at once,
-        it is all that is known of requests that crash what runs them.
+        A recent status of an earlier incarnation is: when all routers stop at
+        once, it holds the only evidence of poison requests, which crash the
+        instances that run them.
 
         Args:
-            incarnation: The start.
+            incarnation: Current incarnation of the router.
             now: Unix time in seconds.
         """
         if self.incarnation == incarnation:
             return True
-        return abs(now - self.told_at) <= LOSSES_COUNT_S
+        return abs(now - self.told_at) <= LOSSES_VALID_S
 
 
 class Routers:
-    """The other routers.
+    """Directory of the fleet's routers, and client of their copies.
 
     Attributes:
-        api: The platform's store.
+        api: Client of the platform's store.
         name: This router's name.
         entry: This router's entry.
-        entries: Every router's entry by name.
-        first_peers: Returns addresses that are asked while no entries are
-            known.
-        tell: Returns what others are told along with a question; this
-            router can't write it to the store then.
+        entries: Entries of all routers by name, including this one.
+        first_peers: Returns the addresses that are asked while there are no
+            entries of other routers.
+        tell: Returns the reports that are sent along with a request for a
+            copy, as this router cannot write them to the store then.
         revisions: Revisions of the other routers' objects, by name.
-        heard: Takes what a router tells all, by its name; under this one's own
-            what its earlier start told.
-        recovered: Whether that was looked at.
-        revision: Revision of this router's object, as far as it knows.
+        on_status: Called with a router's name and its status; with this
+            router's own name for the status of its earlier incarnation.
+        recovered: Whether the status of the earlier incarnation was read.
+        revision: Last observed revision of this router's object.
         due: Set when this router is to announce itself again.
-        random: Source of draws.
+        random: Source of random draws.
     """
 
     __slots__ = (
@@ -143,7 +148,7 @@
         first_peers: Callable[[], tuple[str, ...]],
         source: random.Random,
     ) -> None:
-        """Take this router's entry; `announce` writes it."""
+        """Build a directory of this router alone; `announce` registers it."""
         self.api = api
         self.name = name
         self.entry = entry
@@ -158,14 +163,14 @@
         self.on_status: Callable[[str, RouterStatus], None] = lambda *_: None
 
     def count(self) -> int:
-        """Return how many routers there are, this one too."""
+        """Return the number of routers, including this one."""
         return len(self.entries)
 
     def announce(self) -> bool:
-        """Write this router's entry; return whether it stands.
+        """Write this router's entry; return whether it was written.
 
-        An earlier start of the router may have left one, at the same address
-        or another.
+        Replaces the entry of an earlier incarnation, at the same address or at
+        another.
         """
         self.entry.seen_at = int(time.time())
         spec = msgspec.to_builtins(self.entry)
@@ -174,17 +179,17 @@
                 KIND_ROUTERS, self.name, spec, self.revision, "announce"
             )
         except LacewingdockError as error:
-            log.warning("not announced", error=str(error))
+            log.warning("announcement failed", error=str(error))
             return False
         self.revision = found.revision
         log.info("announced", address=self.entry.address, written=written)
         return written
 
     def publish(self, losses: dict[str, list[str]]) -> bool:
-        """Tell all routers where requests were lost; return whether it stands.
+        """Publish where requests were lost; return whether it was written.
 
-        A conflict is an earlier write whose answer was lost: nobody else
-        writes this object.
+        A conflict comes from an earlier write whose answer was lost, since no
+        other process writes this object; the write is repeated once.
         """
         told_at = int(time.time())
         status = RouterStatus(self.entry.incarnation, losses, told_at)
@@ -198,7 +203,7 @@
                     "router-status",
                 )
             except LacewingdockError as error:
-                log.warning("status not written", error=str(error))
+                log.warning("status write failed", error=str(error))
                 return False
             self.revision = found.revision
             if written:
@@ -209,11 +214,11 @@
         return False
 
     def remove_gone(self) -> None:
-        """Remove the objects of routers that are gone for good.
+        """Remove the objects of routers that are gone.
 
-        Nothing else does: each would be counted for good where the fleet's
-        retries are divided, and be asked for copies in each outage. Who was
-        merely away for long announces itself again.
+        Nothing else removes them, and each would forever count as a router
+        that shares the fleet's retry budget, and be asked for copies in each
+        outage. A router that was merely unreachable announces itself again.
         """
         before = time.time() - GONE_AFTER_S
         for name, entry in list(self.entries.items()):
@@ -225,81 +230,90 @@
                     KIND_ROUTERS, name, revision, "remove-router"
                 )
             except LacewingdockError as error:
-                log.warning("router not removed", error=str(error))
+                log.warning("router removal failed", error=str(error))
                 return
             log.info("router removed", router=name, gone=gone)
 
     def pull(self, kind: str, revision: int) -> Copy:
-        """Return the newest copy that others have beyond a revision."""
+        """Return the newest copy that other routers have beyond a revision."""
         others = self.addresses()
         asked = self.random.sample(others, min(ROUTERS_PER_PULL, len(others)))
         found = [self._pull_from(one, kind, revision) for one in asked]
         return merge_newest([one for one in found if one is not None], revision)
 
     def drop(self, stored: StoredObject) -> None:
-        """Forget a router whose entry was removed."""
+        """Remove a router whose entry was removed from the store."""
         self.revisions.pop(stored.name, None)
         gone = self.entries.pop(stored.name, None)
         if gone is not None:
             self.on_status(stored.name, RouterStatus(gone.incarnation))
 
     def take(self, stored: StoredObject) -> None:
-        """Take a router's entry; of its own, what its earlier start told."""
+        """Apply a router's entry; of this router's own, only the status."""
         if stored.name == self.name:
-            self._recover(stored)
+            self._apply_earlier_status(stored)
             return
         try:
             entry = msgspec.convert(stored.spec, RouterEntry)
         except msgspec.ValidationError as error:
-            log.error("entry refused", router=stored.name, error=str(error))
+            log.error(
+                "invalid router entry", router=stored.name, error=str(error)
+            )
             return
         self.revisions[stored.name] = stored.revision
         known = self.entries.get(stored.name)
         self.entries[stored.name] = entry
         if known is None or known.incarnation != entry.incarnation:
-            log.info("router", router=stored.name, address=entry.address)
-        self._take_status(stored, entry)
+            log.info(
+                "router",
+                router=stored.name,
+                address=entry.address,
+            )
+        self._apply_status(stored, entry)
 
-    def _recover(self, stored: StoredObject) -> None:
-        """Take what an earlier start of this router told, once."""
+    def _apply_earlier_status(self, stored: StoredObject) -> None:
+        """Apply the status of this router's earlier incarnation, once."""
         if self.recovered:
             return
         self.recovered = True
-        told: dict[str, str] = stored.status or {}
-        if told.get("incarnation") not in (None, self.entry.incarnation):
-            self._take_status(stored, self.entry)
+        earlier: dict[str, str] = stored.status or {}
+        if earlier.get("incarnation") not in (None, self.entry.incarnation):
+            self._apply_status(stored, self.entry)
 
-    def _take_status(self, stored: StoredObject, entry: RouterEntry) -> None:
-        """Take what a router tells."""
+    def _apply_status(self, stored: StoredObject, entry: RouterEntry) -> None:
+        """Pass on a router's status; an empty one if it is outdated."""
         status = RouterStatus(entry.incarnation)
         if stored.status:
             try:
                 found = msgspec.convert(stored.status, RouterStatus)
             except msgspec.ValidationError as error:
                 log.error(
-                    "status refused", router=stored.name, error=str(error)
+                    "invalid router status",
+                    router=stored.name,
+                    error=str(error),
                 )
                 return
-            if found.counts_for(entry.incarnation, time.time()):
+            if found.is_valid_for(entry.incarnation, time.time()):
                 status = found
         self.on_status(stored.name, status)
 
     def host_of(self, name: str) -> str | None:
-        """Return another router's IP number, by its entry."""
+        """Return another router's IP address, from its entry."""
         entry = self.entries.get(name)
         if entry is None or name == self.name:
             return None
         return host_of(entry.address)
 
     def is_at(self, name: str, host: str) -> bool:
-        """Whether another router is at an IP number, by its entry."""
+        """Return whether another router's entry has an IP address."""
         return self.host_of(name) == host
 
     def addresses(self) -> list[str]:
-        """Return the addresses of other routers, as far as they are known.
+        """Return the addresses of the other routers.
 
-        A router that starts while the store is away knows none but the first
-        ones; without them it would refuse everything until the store is back.
+        A router that starts while the store is unavailable has only the
+        configured first peers; without them it would refuse all requests until
+        the store is back.
         """
         known = {
             entry.address
@@ -310,11 +324,11 @@
         return sorted(found - {self.entry.address})
 
     def fetch(self, router: str, kind: str, revision: int) -> Copy | None:
-        """Return what a router has of a kind beyond a revision.
+        """Return a router's changes of a kind after a revision.
 
         Returns:
-            The changes, or the whole copy where some are no longer known;
-            None where it does not answer.
+            The changes, or the complete copy if its history does not reach
+            back that far; None if the router does not answer.
         """
         entry = self.entries.get(router)
         if entry is None:
@@ -339,29 +353,35 @@
                 return None
             found: Copy = decode_json(reply.body, Copy)
         except (pycurl.error, msgspec.DecodeError) as error:
-            log.info("no copy", kind=kind, address=address, error=str(error))
+            log.info(
+                "copy request failed",
+                kind=kind,
+                address=address,
+                error=str(error),
+            )
             return None
         return found
 
 
 class CopyServer:
-    """Answers other routers with copies of what this one mirrors.
+    """Serves this router's mirrored copies to other routers.
 
     Attributes:
         mirrors: The mirrors by kind.
-        health: What this router knows of the store.
-        told: Takes what another router tells along with a question.
+        health: Availability of the store as this router observes it.
+        on_report: Called with the reports that another router sends along with
+            its request.
         listener: Accepts the connections.
     """
 
-    __slots__ = ("health", "listener", "mirrors", "told")
+    __slots__ = ("health", "listener", "mirrors", "on_report")
 
     def __init__(
         self,
         address: tuple[str, int],
         mirrors: Mapping[str, Mirror],
         health: StoreHealth,
-        told: Callable[[bytes], None],
+        on_report: Callable[[bytes], None],
     ) -> None:
         """Bind the port; `listener.run` serves it.
 
@@ -370,7 +390,7 @@
         """
         self.mirrors = mirrors
         self.health = health
-        self.told = told
+        self.on_report = on_report
         self.listener = Listener("copies", address, self.serve, MAX_CONNECTIONS)
 
     def serve(self, sock: socket.socket) -> None:
@@ -378,7 +398,7 @@
         try:
             serve_requests(sock, _LIMITS, self._answer)
         except (CallerGone, LacewingdockError) as error:
-            log.info("router's request unread", error=repr(error))
+            log.info("router request failed", error=repr(error))
 
     def _answer(
         self, connection: ServerConnection, request: ServerRequest
@@ -392,23 +412,23 @@
             connection.answer(HTTPStatus.NOT_FOUND, [], b"")
             return
         if request.body:
-            self.told(request.body)
+            self.on_report(request.body)
         copy = build_copy(
             mirror, self.health, int(after), changes="changes" in query
         )
         headers = [(b"Content-Type", b"application/json")]
         body = msgspec.json.encode(copy)
-        if "changes" in query and len(body) > MAX_NEWS_BYTES:
+        if "changes" in query and len(body) > MAX_CHANGES_BYTES:
             body = msgspec.json.encode(Copy(copy.sure, too_long=True))
         connection.answer(HTTPStatus.OK, headers, body)
 
 
 def merge_newest(copies: Iterable[Copy], revision: int) -> Copy:
-    """Return the best of several routers' answers in one.
+    """Merge several routers' answers into one with the newest copy.
 
     Args:
         copies: The answers.
-        revision: The revision beyond which they were asked.
+        revision: Revision after which the routers were asked.
     """
     best = Copy(sure=False)
     for one in copies:
@@ -425,17 +445,17 @@
 def build_copy(
     mirror: Mirror, health: StoreHealth, after: int, *, changes: bool
 ) -> Copy:
-    """Return what another router lacks of a kind.
+    """Build the answer to another router that asks for a kind.
 
     Args:
-        mirror: This router's copy.
-        health: What this router knows of the store.
-        after: Revision up to which the other has it.
-        changes: Whether the changes do; else the whole copy.
+        mirror: This router's mirror of the kind.
+        health: Availability of the store as this router observes it.
+        after: Revision up to which the other router's copy is complete.
+        changes: Whether changes suffice; otherwise the complete copy is sent.
     """
     sure = not health.doubtful
     if changes:
-        return mirror.news(after, sure=sure)
+        return mirror.updates_after(after, sure=sure)
     age = mirror.state()
     copy = Copy(sure)
     if age is not None:
--- a/tests/components/mirror/test_history.py
+++ b/tests/components/mirror/test_history.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lacewingdock.components.mirror.history import KEPT, ChangeHistory
+from lacewingdock.components.mirror.history import MAX_BATCHES, ChangeHistory
 from lacewingdock.platform.objects import Change, Changes, StoredObject
 
 
@@ -63,11 +63,11 @@
 
 def test_old_changes_are_dropped():
     found = ChangeHistory(0)
-    for revision in range(1, KEPT + 3):
+    for revision in range(1, MAX_BATCHES + 3):
         found.add(revision - 1, Changes(revision, [change("a", revision)]))
     assert found.since(1) is None
-    assert len(found.since(2)) == KEPT
-    assert found.changed == KEPT + 2
+    assert len(found.since(2)) == MAX_BATCHES
+    assert found.changed == MAX_BATCHES + 2
 
 
 @given(
--- a/tests/components/mirror/test_store_return.py
+++ b/tests/components/mirror/test_store_return.py
@@ -159,13 +159,15 @@
     back = stored("kept", 2, 3, "x"), stored("new", 2, 21, "y")
     store.snapshot = snapshot(2, 21, *back)
     mirror.round()
-    copy = mirror.news(revision_of(1, 24), sure=True)
+    copy = mirror.updates_after(revision_of(1, 24), sure=True)
     found = [(one.object.name, one.removed) for one in copy.changes.changes]
     assert found == [("gone", True), ("new", False)]
     assert copy.changes.changes[0].unlisted
     assert copy.changes.revision == revision_of(2, 21)
     # Who knew more of what was lost can't go on by the differences.
-    assert mirror.news(revision_of(1, 25), sure=True).snapshot is not None
+    assert (
+        mirror.updates_after(revision_of(1, 25), sure=True).snapshot is not None
+    )
 
 
 def test_history_goes_on_over_a_list_without_differences():
--- a/tests/components/pacing/test_cold_instances.py
+++ b/tests/components/pacing/test_cold_instances.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from lacewingdock.components.pacing import Pacer, ring
-from lacewingdock.components.pacing.const import COLD_SPAN_S, NEWCOMERS
+from lacewingdock.components.pacing.const import COLD_SPAN_S, NEWCOMER_FACTOR
 from lacewingdock.components.pacing.ring import Ring
-from lacewingdock.components.pacing.shares import Allowance, shares
+from lacewingdock.components.pacing.shares import Allowance, compute_shares
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import Instance
@@ -149,11 +149,11 @@
 @settings(derandomize=True, deadline=None)
 def test_shares_add_up_to_less_than_the_bound(per_s, overage, extra, routers):
     most = per_s * overage + extra
-    found = shares(Allowance(per_s, most, COLD_SPAN_S), routers)
+    found = compute_shares(Allowance(per_s, most, COLD_SPAN_S), routers)
     assert 1 <= found.routers <= routers
     each = math.floor((1.0 + WAY_S) / found.gap_s) + 1
     # Where not even one request of each router may come, one router is left.
-    senders = min(found.routers * 1.5, routers * NEWCOMERS)
+    senders = min(found.routers * 1.5, routers * NEWCOMER_FACTOR)
     assert found.routers == 1 or senders * each <= most + 1e-6
     # Over many seconds it is what the instance bears, whatever is allowed.
     assert found.routers / found.gap_s <= per_s
@@ -176,7 +176,7 @@
         router(name, names).due_at(cold("i", since=50.0), 50.0)
         for name in names
     )
-    gap_s = shares(ALLOWANCE, 28).gap_s
+    gap_s = compute_shares(ALLOWANCE, 28).gap_s
     assert 50.0 <= due[0] < due[-1] <= 50.0 + gap_s
     half = sum(at < 50.0 + gap_s / 2 for at in due)
     assert 9 <= half <= 19
@@ -195,7 +195,7 @@
 def near(names, mark):
     """Return the routers that have a share."""
     ring = Ring(names)
-    return {name for name in names if ring.is_near(name, mark, 5)}
+    return {name for name in names if ring.has_share(name, mark, 5)}
 
 
 def test_few_shares_move_as_routers_come():
@@ -213,7 +213,7 @@
     draw, names = random.Random(1), names_of(80)
     ring = Ring(names)
     counts = [
-        sum(ring.is_near(name, mark, 21) for name in names)
+        sum(ring.has_share(name, mark, 21) for name in names)
         for mark in (draw.randrange(2**32) for _ in range(50))
     ]
     assert set(counts) == {21}
@@ -284,7 +284,7 @@
     assert {stage.choose(), stage.choose()} == {"c-1", "c-2"}
     assert stage.choose() is None
     assert stage.reserve(0.001) is None
-    gap_s = shares(ALLOWANCE, 1).gap_s
+    gap_s = compute_shares(ALLOWANCE, 1).gap_s
     turns = [stage.reserve(1.0) for _ in range(4)]
     assert turns[0].instance is not turns[1].instance
     # Each is booked for one request alone.
--- a/tests/components/pacing/test_named_limits.py
+++ b/tests/components/pacing/test_named_limits.py
@@ -12,10 +12,10 @@
     LIMIT_EXTRA,
     LIMIT_OVERAGE,
     LIMIT_SPAN_S,
-    NEWCOMERS,
-    VIEWS,
+    NEWCOMER_FACTOR,
+    VIEW_FACTOR,
 )
-from lacewingdock.components.pacing.shares import Allowance, shares
+from lacewingdock.components.pacing.shares import Allowance, compute_shares
 from lacewingdock.components.upstreams.limits import TOLD_S
 from lacewingdock.components.upstreams.signals import SignalMemory, Signals
 from lacewingdock.world.call import AnswerHead
@@ -127,15 +127,15 @@
 def test_shares_of_a_limit_add_up_to_less_than_the_bound(per_s, routers):
     most = per_s * LIMIT_SPAN_S * LIMIT_OVERAGE + LIMIT_EXTRA
     allowance = Allowance(per_s, most, LIMIT_SPAN_S, ends_by_answer=True)
-    found = shares(allowance, routers)
+    found = compute_shares(allowance, routers)
     assert 1 <= found.routers <= routers
     each = math.floor((LIMIT_SPAN_S + 0.4) / found.gap_s) + 1
-    by_views = found.routers * VIEWS + math.sqrt(found.routers)
-    senders = min(by_views, routers * NEWCOMERS)
+    by_views = found.routers * VIEW_FACTOR + math.sqrt(found.routers)
+    senders = min(by_views, routers * NEWCOMER_FACTOR)
     # Where not even one request of each router may come, one router is left.
     assert found.routers == 1 or senders * each <= most + 1e-6
     # Over many seconds it is what the instance takes, of all of them.
-    rest = (routers - found.routers) / found.rest_gap_s
+    rest = (routers - found.routers) / found.probe_gap_s
     assert found.routers / found.gap_s + rest <= per_s + 1e-9
 
 
--- a/tests/components/routers/test_routers.py
+++ b/tests/components/routers/test_routers.py
@@ -7,7 +7,7 @@
 
 from lacewingdock.components.routers import (
     GONE_AFTER_S,
-    LOSSES_COUNT_S,
+    LOSSES_VALID_S,
     Routers,
 )
 from lacewingdock.components.shifts.const import KIND_REPORTS
@@ -112,7 +112,7 @@
     now = time.time()
     monkeypatch.setattr(time, "time", lambda: now + shift_s)
     fleet.start("r-1", "2")
-    losses = {"f": ["i-1"]} if abs(shift_s) <= LOSSES_COUNT_S else {}
+    losses = {"f": ["i-1"]} if abs(shift_s) <= LOSSES_VALID_S else {}
     fleet.see("r-2")
     assert fleet.statuses == [("r-2", "r-1", losses)]
     fleet.statuses.clear()
