--- a/lacewingdock/components/mirror/__init__.py
+++ b/lacewingdock/components/mirror/__init__.py
@@ -63,8 +63,8 @@
         fresh_for_s: Returns for how many seconds the reports of other routers
             keep the copy fresh enough; 0 if this mirror must call the store.
         defer_call_s: Returns the seconds for which this mirror leaves it to
-            another kind's call to detect the store's return; 0 if this mirror
-            must call.
+            other calls to detect the store's return; 0 if this mirror must
+            call.
         renew_s: Returns the age in seconds that the copy may reach during a
             waiting watch: other routers may depend on its freshness.
         on_change: Called after each change.
--- a/tests/components/mirror/__init__.py
+++ b/tests/components/mirror/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of mirror."""
+"""Tests of the watch cache for objects in the platform's store."""
--- a/tests/components/mirror/simulated_store.py
+++ b/tests/components/mirror/simulated_store.py
@@ -1,7 +1,7 @@
-"""A platform's store in virtual time, with troubles at set moments.
+"""A simulated platform store in virtual time, with faults at given times.
 
-What happens to the store is set before it starts, so that each call's end
-follows from its beginning. Calls are those of `ObjectApi`.
+All events of the store are given before it starts, so that the end of each call
+follows from its beginning. The calls are those of `ObjectApi`.
 """
 
 import math
@@ -23,21 +23,22 @@
     StoredObject,
 )
 
-# A call's way there and back.
+# Round trip time of a call, in seconds.
 TRIP_S = 0.006
-# Within how long after the store's return its writers write again what it lost.
-AGAIN_S = 1.9
+# Seconds after the store's return within which its writers repeat lost writes.
+REWRITE_S = 1.9
 
 
 @dataclass
 class Outage:
-    """A span in which the store does not answer.
+    """A period in which the store does not answer.
 
     Attributes:
-        start: When it starts.
-        end: When it ends.
-        silent: Whether calls hang; else they are turned away at once.
-        for_all: Whether it answers nobody, not only not this router.
+        start: Time at which it starts.
+        end: Time at which it ends.
+        silent: Whether calls hang; otherwise they are refused at once.
+        for_all: Whether no router gets an answer; otherwise only this one gets
+            none.
     """
 
     start: float
@@ -48,11 +49,11 @@
 
 @dataclass
 class Return(Outage):
-    """A span in which the store is away, and comes back from a copy.
+    """An outage after which the store returns from a backup.
 
     Attributes:
-        lost_s: How old the copy is when the store goes away.
-        dead: Names of what nobody writes again.
+        lost_s: Age of the backup in seconds at the start of the outage.
+        dead: Names of the objects whose lost writes nobody repeats.
     """
 
     lost_s: float = 0.0
@@ -60,23 +61,23 @@
 
     @property
     def copied_at(self):
-        """The moment of the copy."""
+        """Time of the backup."""
         return self.start - self.lost_s
 
 
 @dataclass
 class Troubles:
-    """What disturbs the store or the way to it.
+    """Faults of the store and of the connection to it.
 
     Attributes:
-        outages: Spans in which it does not answer.
-        silenced: Moments at which open connections go silent for good.
-        cuts: Moments at which waiting watches are cut off, which is allowed
-            at any time and disturbs nothing.
-        forgotten: Moments at which the history is dropped; watches that wait
-            then hear nothing more, and are told at their end.
-        slow: Spans in which each answer takes longer, as (start, end,
-            seconds).
+        outages: Periods in which the store does not answer.
+        silenced: Times at which open connections go silent for good.
+        cuts: Times at which waiting watches are cut off, which is allowed at
+            any time and counts as no disturbance.
+        forgotten: Times at which the history is dropped; watches that wait
+            then receive no more changes, and an error at their end.
+        slow: Periods in which each answer takes longer, as (start, end,
+            additional seconds).
     """
 
     outages: list[Outage] = field(default_factory=list)
@@ -86,7 +87,7 @@
     slow: list[tuple[float, float, float]] = field(default_factory=list)
 
     def of_store(self):
-        """Return the spans in which the store itself is disturbed."""
+        """Return the periods in which the store itself is disturbed."""
         return [
             *((one.start, one.end) for one in self.outages if one.for_all),
             *((at, at) for at in self.forgotten),
@@ -94,27 +95,27 @@
         ]
 
     def of_router(self):
-        """Return the spans in which the router is disturbed."""
+        """Return the periods in which only this router is disturbed."""
         return [
             *((one.start, one.end) for one in self.outages if not one.for_all),
             *((at, at) for at in self.silenced),
         ]
 
     def outage_at(self, at):
-        """Return the outage at a moment, if any."""
+        """Return the outage at a given time, if any."""
         for one in self.outages:
             if one.start <= at < one.end:
                 return one
         return None
 
     def delay_at(self, at):
-        """Return how long an answer takes at a moment."""
+        """Return the seconds that an answer takes at a given time."""
         return TRIP_S + sum(s for a, b, s in self.slow if a <= at < b)
 
 
 @dataclass
 class Written:
-    """A change of the store: an object's new state, None where it goes."""
+    """A write to the store: an object's new spec, or None for a removal."""
 
     at: float
     kind: str
@@ -123,11 +124,11 @@
 
 
 class SimulatedStore:
-    """The store as one router reaches it.
+    """The store as it answers one router.
 
     Attributes:
-        time: Its virtual time.
-        troubles: What disturbs it.
+        time: The virtual time.
+        troubles: Faults of the store and of the connection to it.
         calls: Calls so far, as (time, purpose).
     """
 
@@ -143,7 +144,7 @@
     def list_kind(
         self, kind, purpose, *, stale=False, timeout_s=CALL_TIMEOUT_S
     ):
-        """Answer a list."""
+        """Answer a list call."""
         del stale
         began = self.time.now()
         self._reach(kind, purpose, timeout_s)
@@ -154,13 +155,13 @@
     def watch_kind(
         self, kind, revision, wait_s, purpose, grace_s=2.0, *, stale=False
     ):
-        """Answer a watch."""
+        """Answer a watch call."""
         if era_of(revision) != self.eras.era:
             raise HistoryGoneError
         began, timeout_s = self.time.now(), wait_s + grace_s
         self._reach(kind, purpose, timeout_s)
         history = self._history(began)
-        # The store knows the count alone.
+        # The store compares only the count, without the era.
         revision = revision_of(history.era, count_of(revision))
         log = [one for one in history.log if one[2] == kind]
         news = [at for at, r, *_ in log if r > revision]
@@ -182,11 +183,11 @@
         return Changes(max(self._revision(now), revision), changes)
 
     def drop_connection(self, kind):
-        """Close a kind's connection."""
+        """Close the connection for a kind."""
         self._opened.pop(kind, None)
 
     def at(self, at, kind):
-        """Return a kind's objects at a moment."""
+        """Return a kind's objects at a given time."""
         found = Snapshot(self._revision(at))
         for when, _, of, change in self._history(at).log:
             if of != kind or when > at:
@@ -198,7 +199,7 @@
         return found
 
     def _history(self, at):
-        """Return the history that the store has at a moment."""
+        """Return the history that the store has at a given time."""
         return [one for one in self._histories if one.start <= at][-1]
 
     def _take_era(self, began, at, *, stale=False):
@@ -211,7 +212,7 @@
         return max(found, default=revision_of(history.era, 1))
 
     def _forgot(self, revision, began, ready):
-        """Whether the history after a revision goes before there is news."""
+        """Return whether the history is dropped before the next change."""
         for at in self.troubles.forgotten:
             if began < at <= ready:
                 return True
@@ -220,7 +221,7 @@
         return False
 
     def _reach(self, kind, purpose, timeout_s):
-        """Open a connection where there is none, and send the call."""
+        """Send a call, on a new connection if none is open."""
         now = self.time.now()
         self.calls.append((now, purpose))
         outage = self.troubles.outage_at(now)
@@ -231,7 +232,7 @@
             self._fail(kind, timeout_s)
 
     def _cut(self, kind, began, ready):
-        """Fail a watch that is cut while it waits."""
+        """Fail a watch that is cut off while it waits."""
         cuts = [at for at in self.troubles.cuts if began < at < ready]
         cuts += [
             one.start
@@ -242,7 +243,7 @@
             self._fail(kind, min(cuts) - began)
 
     def _answer(self, kind, timeout_s, began, ready=None):
-        """Let the answer come, unless its connection goes silent before."""
+        """Deliver the answer, unless its connection goes silent before."""
         ready = began if ready is None else ready
         at = ready + self.troubles.delay_at(ready)
         lost = any(began < one <= at for one in self.troubles.silenced)
@@ -259,11 +260,11 @@
 
 @dataclass
 class History:
-    """What the store counts from one return to the next.
+    """Changes in one era of the store, from one return to the next.
 
     Attributes:
-        start: When it begins.
-        era: Its number.
+        start: Time at which the era begins.
+        era: Number of the era.
         log: Changes as (time, revision, kind, change).
     """
 
@@ -272,7 +273,7 @@
     log: list
 
     def add(self, one):
-        """Add a change."""
+        """Append a write, unless it removes an object that does not exist."""
         known = self.objects()
         removed = one.spec is None
         if removed and (one.kind, one.name) not in known:
@@ -283,7 +284,7 @@
         self.log.append((one.at, last + 1, one.kind, change))
 
     def objects(self):
-        """Return what there is, by kind and name."""
+        """Return the specs of the existing objects by kind and name."""
         found = {}
         for _, _, kind, change in self.log:
             key = kind, change.object.name
@@ -295,11 +296,11 @@
 
 
 def histories(written, returns):
-    """Return the store's histories, one for each copy that it ran on.
+    """Return the store's histories, one for each era.
 
     Args:
-        written: What is written, as its writers mean it.
-        returns: When the store comes back from a copy.
+        written: Writes as their writers intend them, without faults.
+        returns: Outages after which the store returns from a backup.
     """
     found = [History(-math.inf, 1, [])]
     rest = sorted(written, key=lambda one: one.at)
@@ -307,7 +308,7 @@
         history = found[-1]
         while rest and rest[0].at < one.start:
             history.add(rest.pop(0))
-        # Nobody writes while it is away.
+        # Writes during the outage are delayed until its end.
         waiting = [write for write in rest if write.at < one.end]
         for write in waiting:
             rest.remove(write)
@@ -321,7 +322,7 @@
 
 
 def copied(history, one):
-    """Return the history of a store that is back from a copy."""
+    """Return the history of a store that returned from a backup."""
     era = history.era + 1
     log = [
         (
@@ -342,10 +343,10 @@
 
 
 def written_again(history, one, rest):
-    """Return what operators and instances write again after a return.
+    """Return the writes that operators and instances repeat after a return.
 
-    Each writes the last of what it wrote since the copy, unless it writes
-    something else before.
+    Each repeats its last write since the backup, unless a newer write of the
+    same object comes first.
     """
     lost = {
         (kind, change.object.name): change
@@ -355,7 +356,7 @@
     found = []
     for (kind, name), change in lost.items():
         draw = random.Random(f"{kind}/{name}/{one.end}")
-        at = one.end + draw.uniform(0.05, AGAIN_S)
+        at = one.end + draw.uniform(0.05, REWRITE_S)
         is_newer = any(
             (write.kind, write.name) == (kind, name) and write.at <= at
             for write in rest
--- a/tests/components/mirror/test_history.py
+++ b/tests/components/mirror/test_history.py
@@ -1,4 +1,4 @@
-"""Tests of handing on the changes of a copy."""
+"""Tests of the change history that is sent to other routers."""
 
 import pytest
 from hypothesis import given, settings
@@ -13,7 +13,7 @@
 
 
 def history():
-    """A copy of revision 10 with changes at 12, 15 and 16, and 30."""
+    """Return a history from revision 10 with batches up to revision 33."""
     found = ChangeHistory(10)
     found.add(10, Changes(13, [change("a", 12)]))
     found.add(13, Changes(20, []))
@@ -29,7 +29,7 @@
         (10, ["a", "b", "a", "c"]),
         (12, ["b", "a", "c"]),
         (21, ["b", "a", "c"]),
-        # In the middle of changes that came together.
+        # Inside a batch of changes.
         (22, None),
         (23, None),
         (24, ["c"]),
@@ -46,12 +46,12 @@
         assert [one.object.name for one in found] == names
 
 
-def test_removed_object_may_bear_the_revision_of_its_last_write():
-    """Symptom: an instance that was removed is kept for good.
+def test_removed_object_may_have_the_revision_of_its_last_write():
+    """Guards against a removed instance that followers keep forever.
 
-    Sequence: its entry, last written at revision 5, is removed at 12; a
-    router whose copy is of 11 is told that the last change was at 5. Cause:
-    the revision that a removed object bears was taken for the removal's.
+    An entry that was last written at revision 5 is removed at 12. If the
+    removed object's revision counted as that of the removal, a router with a
+    copy of revision 11 would be sent 5 as the last change.
     """
     found = ChangeHistory(10)
     found.add(10, Changes(14, [change("a", 5, removed=True)]))
@@ -77,8 +77,8 @@
     after=st.integers(0, 60),
 )
 @settings(derandomize=True, deadline=None)
-def test_changes_make_the_copy_whole(sizes, gaps, removed, after):
-    """Whoever has a revision and takes the changes after it has everything."""
+def test_changes_complete_the_copy(sizes, gaps, removed, after):
+    """A copy of any revision is complete after applying later changes."""
     found, revision, log = ChangeHistory(0), 0, []
     for size, gap, is_removed in zip(sizes, gaps, removed, strict=True):
         before = revision
--- a/tests/components/mirror/test_mirror.py
+++ b/tests/components/mirror/test_mirror.py
@@ -1,4 +1,4 @@
-"""Tests of mirrors: outages, cuts, dropped history, old answers."""
+"""Tests of mirrors: outages, cut watches, dropped history, old copies."""
 
 import random
 import threading
@@ -23,13 +23,13 @@
 )
 
 AWAY = unavailable("down", RAN_NO)
-# A watch that fails, and the call that follows it without waiting.
+# A failed watch, and the failed call without a wait that follows it.
 OUTAGE = (AWAY, AWAY)
 SETTLE_S = 0.4
 
 
 def entry(name, **changes):
-    """Return the entry of an instance as the platform keeps it."""
+    """Return the entry of an instance as the platform stores it."""
     spec = {
         "service": "svc",
         "address": "10.0.0.1:80",
@@ -45,17 +45,17 @@
 
 
 def listed(revision, *names):
-    """Return a whole list of instances."""
+    """Return a complete list of instances."""
     return Snapshot(revision, {name: entry(name) for name in names})
 
 
 def removed(revision, name):
-    """Return the change by which an instance leaves."""
+    """Return the changes that remove an instance."""
     return Changes(revision, [Change(entry(name), True)])
 
 
 class Script:
-    """A store that answers what it is told to, in turn; then it is down."""
+    """A store that returns given answers in order, and then is down."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -68,16 +68,16 @@
         return found
 
     def list_kind(self, *_args, **_kwargs):
-        """Answer a list."""
+        """Answer a list call."""
         return self._next()
 
     def watch_kind(self, *_args, **_kwargs):
-        """Answer a watch."""
+        """Answer a watch call."""
         return self._next()
 
 
 def mirror_of(*answers, copy=None):
-    """Return a mirror of instances, its directory and its health."""
+    """Return a mirror of instances, its directory and its store health."""
     directory = Directory()
     health = StoreHealth(SETTLE_S)
     mirror = Mirror(
@@ -93,7 +93,7 @@
 
 
 def run(mirror):
-    """Run a mirror until its script is at its end."""
+    """Run a mirror until the store has returned all its answers."""
     stopping = threading.Event()
     mirror.pause.first_s = mirror.pause.limit_s = 0.001
     task = threading.Thread(target=mirror.run, args=(stopping,))
@@ -107,12 +107,11 @@
 @pytest.mark.parametrize(
     ("answers", "copy", "open_ones", "lapsed"),
     [
-        # A calm store: a missing entry is a gone instance.
+        # Without an outage, a missing entry means that the instance left.
         ([listed(5, "a", "b"), removed(6, "b")], None, {"a"}, set()),
-        # A watch may be cut at any time: the call after it was answered.
-        # Symptom: an instance got work 2.05 s after its entry had gone, and
-        # 0.2 s before that a watch had been cut; the cut was taken for an
-        # outage.
+        # A watch may be cut off at any time, and the call after it is
+        # answered. With the cut taken for an outage, an instance got requests
+        # 2.05 s after its entry was removed, as a watch was cut 0.2 s before.
         ([listed(5, "a", "b"), AWAY, removed(6, "b")], None, {"a"}, set()),
         (
             [listed(5, "a", "b"), AWAY, HistoryGoneError(), listed(9, "a")],
@@ -120,7 +119,7 @@
             {"a"},
             set(),
         ),
-        # The store was away: entries lapse, and their instances live on.
+        # After an outage of the store, expired entries are kept as lapsed.
         ([listed(5, "a", "b"), *OUTAGE, removed(6, "b")], None, "ab", {"b"}),
         (
             [listed(5, "a", "b"), *OUTAGE, HistoryGoneError(), listed(9, "a")],
@@ -128,9 +127,9 @@
             "ab",
             {"b"},
         ),
-        # Only this router was cut off. Symptom: an instance that left got a
-        # request 2.1 s after it had; the router had taken the store's return
-        # to itself for the store's return, and the entry for a lapsed one.
+        # Only this router was partitioned from the store. It took the end of
+        # the partition for the end of an outage, and the entry for a lapsed
+        # one, so that an instance got a request 2.1 s after it left.
         (
             [listed(5, "a", "b"), *OUTAGE, removed(6, "b")],
             Copy(sure=True),
@@ -144,7 +143,7 @@
             "ac",
             set(),
         ),
-        # An older copy takes nothing back.
+        # An older copy of another router changes nothing.
         (
             [listed(5, "a", "b"), *OUTAGE],
             Copy(True, listed(4, "a")),
@@ -153,7 +152,7 @@
         ),
     ],
 )
-def test_entries_after(answers, copy, open_ones, lapsed):
+def test_instances_after_answers(answers, copy, open_ones, lapsed):
     mirror, directory, _ = mirror_of(*answers, copy=copy)
     run(mirror)
     assert set(directory.instances) == set(open_ones)
@@ -161,13 +160,12 @@
     assert found == lapsed
 
 
-def test_router_that_was_cut_off_from_all_asks_at_its_return():
-    """Symptom: an instance gets a request 2.1 s after it left.
+def test_router_asks_others_after_a_full_partition():
+    """Guards against a request to an instance 2.1 s after it left.
 
-    A router is cut off from the store and from all others; at its return the
-    entry of an instance that left is missing. Cause: it had nobody's word
-    that the store had answered others, and held the entry for lapsed for
-    2.3 s after.
+    A router is partitioned from the store and from all other routers; when it
+    is back, the entry of an instance that left is missing. Without a report
+    that the store had answered others, it kept the entry as lapsed for 2.3 s.
     """
     copies = [Copy(sure=False), Copy(sure=True)]
     mirror, directory, health = mirror_of(
@@ -203,9 +201,9 @@
 
 
 def test_fault_in_a_listener_does_not_end_the_mirror():
-    """Symptom: a router never again hears of a change, and logs nothing.
+    """Guards against a router that silently receives no further changes.
 
-    Cause: what the listener raised ended the task that mirrors.
+    An exception of the listener ended the task of the mirror.
     """
     mirror, directory, _ = mirror_of(
         listed(5, "a"), Changes(6, [Change(entry("b"), False)]), listed(7, "c")
@@ -231,11 +229,11 @@
     assert "a" in directory.instances
 
 
-def test_fault_in_taking_another_routers_copy_does_not_end_the_mirror():
-    """Symptom: a router never again hears of a change after an outage.
+def test_fault_in_applying_another_routers_copy_does_not_end_the_mirror():
+    """Guards against a router without further changes after an outage.
 
-    Sequence: the store does not answer, and another router's copy is taken;
-    what is told of it raises. Cause: only the store's answers were guarded.
+    The store does not answer, and the listener raises while another router's
+    copy is applied. Only exceptions from the store's answers were handled.
     """
     mirror, directory, _ = mirror_of(
         listed(5, "a"),
@@ -289,8 +287,8 @@
     assert asked[:2] == [("list", False), ("watch", stale)]
 
 
-def test_objects_are_taken_one_by_one():
-    """What is missing from a list is kept; only a removal drops it."""
+def test_objects_are_passed_on_one_by_one():
+    """An object that a list lacks is kept; only a removal drops it."""
     taken, dropped = [], []
     found = PerObjectListener(
         lambda one: taken.append(one.name), lambda one: dropped.append(one.name)
@@ -306,18 +304,18 @@
 @pytest.mark.parametrize(
     ("answers", "low_s", "high_s"),
     [
-        # A first list says nothing of when things were written.
+        # A first list does not show when its objects were written.
         ([listed(1, "a")], 0.0, 0.0),
-        # A watch that waited tells at once.
+        # A waiting watch returns a change at once.
         ([listed(1, "a"), removed(2, "a")], 0.0, 0.0),
-        # A list after the history was dropped may show what is older.
+        # A list after the history was dropped may show older changes.
         ([listed(1, "a"), HistoryGoneError(), listed(3, "b")], 0.04, 2.0),
     ],
 )
 def test_how_long_changes_may_have_gone_unseen(answers, low_s, high_s):
-    """Symptom: an order that is seen late ends late.
+    """Guards against an order that ends late because it was observed late.
 
-    Cause: nothing told how long ago it may have been placed.
+    Its deadline needs an upper bound on the time since it was placed.
     """
     mirror, *_ = mirror_of(*answers)
     for _ in answers[:2]:
--- a/tests/components/mirror/test_store_return.py
+++ b/tests/components/mirror/test_store_return.py
@@ -1,4 +1,4 @@
-"""Tests of a copy whose store comes back from an older one."""
+"""Tests of a mirror whose store returns from a backup."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 
 class Store:
-    """A store that has one list, and the history after its revision."""
+    """A store with one list, and no history before its revision."""
 
     def __init__(self, clock, snapshot):
         self.clock = clock
@@ -63,7 +63,7 @@
 
 
 def mirror_of(found):
-    """Return a mirror with a copy, its store and what it told of."""
+    """Return a mirror with a copy, its store and the objects passed on."""
     clock, taken = Clock(), []
     store = Store(clock, found)
     mirror = Mirror(
@@ -80,11 +80,11 @@
     return mirror, store, taken
 
 
-def test_list_after_the_return_is_taken_though_its_count_is_lower():
-    """Symptom: after the store's return from a copy no list is taken.
+def test_list_after_a_restore_is_applied_though_its_count_is_lower():
+    """Guards against a mirror that ignores all lists after a restore.
 
-    Sequence: the known revision is gone (410), and the list's is lower. Cause:
-    counts were compared without their era.
+    The mirror's revision is gone (410), and that of the list is lower: counts
+    were compared without their era.
     """
     mirror, store, taken = mirror_of(snapshot(1, 24, stored("a", 1, 24, "x")))
     store.snapshot = snapshot(2, 21, stored("a", 2, 19, "y"))
@@ -93,10 +93,10 @@
     assert [one.spec for one in taken] == ["x", "y"]
 
 
-def test_list_that_is_overtaken_by_others_news_of_a_later_era_is_left():
+def test_list_is_ignored_after_an_update_of_a_later_era():
     mirror, store, _ = mirror_of(snapshot(1, 24, stored("a", 1, 24)))
-    news = snapshot(2, 21, stored("a", 2, 19, "new"))
-    copy = Copy(sure=True, snapshot=news, age_s=0.0)
+    update = snapshot(2, 21, stored("a", 2, 19, "new"))
+    copy = Copy(sure=True, snapshot=update, age_s=0.0)
 
     def overtake():
         mirror.apply_update(copy, 0, store.clock.now())
@@ -108,10 +108,11 @@
     assert mirror.objects["a"].spec == "new"
 
 
-def test_revision_that_the_store_never_had_lasts_until_its_next_list():
-    """Symptom: one forged message makes a router deaf for good.
+def test_revision_that_the_store_never_had_is_replaced_by_the_next_list():
+    """Guards against one forged message that blocks all later lists.
 
-    Cause: a list below the known revision was dropped, whoever had told that.
+    A list with a revision below the mirror's was ignored, even if the mirror's
+    revision came from another router's report.
     """
     mirror, store, _ = mirror_of(snapshot(1, 24, stored("a", 1, 24)))
     assert mirror.confirm_unchanged(
@@ -130,29 +131,31 @@
         ((1, 20), (1, 24), True),
         ((1, 20), (1, 30), True),
         ((1, 25), (1, 30), False),
-        # A router that was cut off since before the return.
+        # A router that has been partitioned since before the return.
         ((0, 90), (0, 99), True),
-        # One that has seen it: this copy may hold what was lost.
+        # A router that observed the return: this copy may hold lost objects.
         ((1, 20), (2, 21), False),
         ((2, 20), (2, 21), False),
     ],
 )
-def test_word_of_another_router_is_of_an_era(changed, complete, has_all):
+def test_freshness_report_is_checked_against_the_era(
+    changed, complete, has_all
+):
     mirror, _, _ = mirror_of(snapshot(1, 24, stored("a", 1, 24)))
     before = mirror.as_of
     found = mirror.confirm_unchanged(
         revision_of(*changed), revision_of(*complete), before + 5
     )
     assert found is has_all
-    # An earlier era's word does not make the copy younger.
+    # A report of an earlier era does not make the copy fresher.
     told = has_all and complete[0] == 1
     assert mirror.as_of == before + (5 if told else 0)
 
 
-def test_followers_get_what_a_list_changed():
-    """Symptom: after a return each follower asks for whole lists.
+def test_followers_get_the_changes_of_a_list():
+    """Guards against followers that all ask for complete lists at a return.
 
-    Cause: a list ended the history that others go on from.
+    Each list cleared the history from which followers get their changes.
     """
     kept, gone = stored("kept", 1, 3, "x"), stored("gone", 1, 24, "x")
     mirror, store, _ = mirror_of(snapshot(1, 24, kept, gone))
@@ -164,13 +167,13 @@
     assert found == [("gone", True), ("new", False)]
     assert copy.changes.changes[0].unlisted
     assert copy.changes.revision == revision_of(2, 21)
-    # Who knew more of what was lost can't go on by the differences.
+    # A copy with more of the lost history can't apply the differences.
     assert (
         mirror.updates_after(revision_of(1, 25), sure=True).snapshot is not None
     )
 
 
-def test_history_goes_on_over_a_list_without_differences():
+def test_history_continues_after_a_list_without_differences():
     history = ChangeHistory(revision_of(1, 24))
     history.add_list(revision_of(1, 24), Changes(revision_of(2, 24), []))
     assert history.since(revision_of(1, 24)) == []
--- a/tests/components/pacing/__init__.py
+++ b/tests/components/pacing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of instances that are cold."""
+"""Tests of distributed rate limiting to cold and limited instances."""
--- a/tests/components/pacing/limited_fleet.py
+++ b/tests/components/pacing/limited_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of routers before an instance that names limits, in virtual time."""
+"""A fleet of routers and an instance that names limits, in virtual time."""
 
 import math
 from collections import deque
@@ -13,47 +13,50 @@
 from tests.components.upstreams.entries import entry
 from tests.timeline import Timeline
 
-# What the instance bears in any span of `WINDOW_S`, of routers that it told at
-# least `TOLD_S` before, from `CONTACT_S` after it first named the limit.
+# Bound on the requests that arrive in any window of `WINDOW_S` seconds, as
+# `OVERAGE` times the limit and `EXTRA` requests, from routers to which the
+# instance named its limit at least `NOTICE_S` seconds before. It holds from
+# `CONTACT_S` seconds after the instance first named a limit.
 WINDOW_S = 4.0
 OVERAGE = 1.5
 EXTRA = 5.0
-TOLD_S = 0.5
+NOTICE_S = 0.5
 CONTACT_S = 3.0
-# Longest ways of a request to the instance, and of its answer's head back.
-WAY_S = 0.4
-BACK_S = 0.3
+# Longest transit times in seconds of a request to the instance, and of the head
+# of its answer back.
+MAX_TRANSIT_S = 0.4
+MAX_RETURN_S = 0.3
 
-# How often a router tells others, and how many of them each time: fewer than
-# in a fleet, so that most news comes late.
-TELL_S = 0.4
-TOLD_EACH = 3
+# Seconds between two gossip messages of a router, and their recipients: fewer
+# than in a real fleet, so that most limits spread late.
+GOSSIP_INTERVAL_S = 0.4
+GOSSIP_RECIPIENTS = 3
 
 LIMITED = "limited"
 OTHER = "other"
 
 
 class Span:
-    """Counts what came in the last `WINDOW_S`, by the limits that were told."""
+    """Arrivals in the last `WINDOW_S`, with the limit sent to each router."""
 
     def __init__(self):
         self.arrivals = deque()
 
     def add(self, at, per_s):
-        """Take an arrival of a router that was told of a limit, or not."""
+        """Record an arrival; `per_s` is None if its router had no limit."""
         if per_s is not None:
             self.arrivals.append((at, per_s))
         while self.arrivals and self.arrivals[0][0] < at - WINDOW_S:
             self.arrivals.popleft()
 
     def beyond(self):
-        """Return how many came beyond what the largest of the limits allows."""
+        """Return the number of arrivals beyond the largest limit's bound."""
         most = max((per_s for _, per_s in self.arrivals), default=0.0)
         return len(self.arrivals) - most * WINDOW_S * OVERAGE - EXTRA
 
 
 class Router:
-    """One router: what it knows, and how it chooses."""
+    """One router with its directory, load balancing and pacer."""
 
     def __init__(self, fleet, name):
         self.name = name
@@ -61,7 +64,7 @@
         self.directory = Directory(fleet)
         for one in (LIMITED, OTHER):
             self.directory.take(entry(one, host=f"10.0.0.{len(one)}"))
-        # It is always the limited one that looks idle.
+        # The limited instance always looks idle in comparison.
         self.directory.instances[OTHER].running = 1000
         self.chooser = Chooser(self.directory, "a", fleet.draw)
         self.chooser.pacer = Pacer(
@@ -78,57 +81,65 @@
         return self.directory.instances[LIMITED]
 
     def offer(self):
-        """Send a request wherever it goes best."""
+        """Send a request to the instance that load balancing chooses."""
         chosen = self.chooser.choose("svc", lambda _: True, 1.0)
         if chosen is not self.instance:
             if chosen is not None:
                 self.chooser.done(chosen)
             return
         sent_at = self.fleet.now()
-        self.fleet.after(self.fleet.way(WAY_S), self.arrives, sent_at)
+        self.fleet.after(self.fleet.way(MAX_TRANSIT_S), self.deliver, sent_at)
 
-    def tell(self, number):
-        """Return what it tells other routers; nothing where it knows none."""
+    def compose_message(self, number):
+        """Return a gossip message with its limits; None if it has none."""
         limits = limits_of(self.directory)
         if not limits:
             return None
         return encode(Message(self.name, 0, number, limits=limits))
 
-    def hear(self, data):
-        """Take what another router tells."""
+    def receive(self, data):
+        """Apply a gossip message of another router."""
         hear_limits(self.directory, decode(data))
 
-    def arrives(self, sent_at):
-        """A request reaches the instance, which answers it."""
+    def deliver(self, sent_at):
+        """Deliver a request to the instance, which answers it."""
         fleet = self.fleet
         limit = fleet.limit()
         fleet.arrivals.append((fleet.now(), self.name))
         head = AnswerHead(200, [], sealed=True, limit_per_s=limit)
-        fleet.after(fleet.way(BACK_S), self.answered, head, sent_at, fleet.ends)
+        fleet.after(
+            fleet.way(MAX_RETURN_S), self.answered, head, sent_at, fleet.ends
+        )
 
     def answered(self, head, sent_at, ends):
-        """The head of an answer is here, which left after so many ends."""
+        """Apply an answer's head that was sent after `ends` ends of limits."""
         self.directory.signals.answered(
             self.instance.entry, self.instance.signals, head, sent_at
         )
         self.chooser.done(self.instance)
-        # One that left before a limit ended says nothing of the next one.
+        # A head that was sent before a limit ended does not name the next one.
         if head.limit_per_s is not None and ends == self.fleet.ends:
-            told = self.fleet.told.setdefault(self.name, [])
-            if not told or told[-1][1] != head.limit_per_s:
-                told.append((self.fleet.now(), head.limit_per_s))
+            received_limits = self.fleet.received_limits.setdefault(
+                self.name, []
+            )
+            if (
+                not received_limits
+                or received_limits[-1][1] != head.limit_per_s
+            ):
+                received_limits.append((self.fleet.now(), head.limit_per_s))
 
 
 class Fleet(Timeline):
-    """Routers that send all they may to one instance.
+    """Routers that send as many requests as they may to one instance.
 
     Attributes:
-        arrivals: When requests reached the instance, and of which router.
-        told: When the instance told each router of which limits, since it
-            names any.
-        ends: How often a limit ended.
-        of_told: Requests in the last span of routers that were told.
-        of_told_now: The same of those that were told of the present limit.
+        arrivals: Arrivals at the instance, as (time, router).
+        received_limits: Limits that each router received since the instance
+            last named none, as (time, requests a second), by router.
+        ends: Number of limits that ended.
+        of_informed: Recent requests of routers that received a limit.
+        of_informed_now: Recent requests of routers that received the current
+            limit.
     """
 
     def __init__(
@@ -137,23 +148,23 @@
         """Start the routers.
 
         Args:
-            count: How many.
+            count: Number of routers.
             limits: The limits that the instance names, as (time, requests a
                 second or None), in order.
-            seed: Seed of all draws.
+            seed: Seed of all random draws.
             every_s: Seconds between two requests of a router.
-            view: "all" routers know each other; "part" and "few": some know
-                two thirds, or nine tenths, of them.
-            lost: Part of the routers' messages to each other that are lost.
+            view: "all": each router lists all others. "part" and "few": some
+                routers list only two thirds, or nine tenths, of them.
+            lost: Share of the gossip messages that are lost.
         """
         super().__init__(seed)
         self.lost = lost
         self.limits = limits
         self.every_s = every_s
         self.arrivals = []
-        self.told = {}
+        self.received_limits = {}
         self.ends = 0
-        self.of_told, self.of_told_now = Span(), Span()
+        self.of_informed, self.of_informed_now = Span(), Span()
         names = [f"r-{number}" for number in range(count)]
         part = names[: max(2 * count // 3, 1)]
         few = names[: max(9 * count // 10, 1)]
@@ -163,30 +174,34 @@
         for name in names:
             self.after(self.draw.uniform(0.0, every_s), self._offer, name)
             if lost < 1.0:
-                self.after(self.draw.uniform(0.0, TELL_S), self._tell, name)
+                self.after(
+                    self.draw.uniform(0.0, GOSSIP_INTERVAL_S),
+                    self._gossip,
+                    name,
+                )
         for at, per_s in limits:
-            self.after(at, self._moves, per_s)
+            self.after(at, self._change_limit, per_s)
 
     def known_to(self, name):
-        """Return the routers that one knows, itself too."""
+        """Return the routers that a router lists, including itself."""
         return self._known[name]
 
     def limit(self):
-        """Return the limit that the instance names now."""
+        """Return the limit that the instance currently names."""
         named = [per_s for at, per_s in self.limits if at <= self.time]
         return named[-1] if named else None
 
     def restart(self, name):
-        """Start a router again: it knows nothing of before."""
+        """Restart a router without its earlier state."""
         self.routers[name] = Router(self, name)
-        self.told.pop(name, None)
+        self.received_limits.pop(name, None)
 
     def run(self, until):
-        """Let time pass; return by how much the bound was ever exceeded.
+        """Run the simulation up to a time.
 
         Returns:
-            Requests beyond the bound in the worst span; below 0 where there
-            was room in all of them.
+            Requests beyond the bound in the worst window; below 0 if all
+            windows stayed below it.
         """
         worst, seen = -math.inf, 0
         for _ in self.steps(until):
@@ -196,31 +211,31 @@
         return worst
 
     def _counted(self, at, name):
-        """Count an arrival; return by how much the bound is exceeded."""
-        told = [
+        """Record an arrival; return the number of requests beyond the bound."""
+        received_limits = [
             per_s
-            for told_at, per_s in self.told.get(name, ())
-            if told_at <= at - TOLD_S
+            for received_at, per_s in self.received_limits.get(name, ())
+            if received_at <= at - NOTICE_S
         ]
-        last = told[-1] if told else None
+        last = received_limits[-1] if received_limits else None
         named = self.limit()
         if last is not None and named is not None:
-            # One that names a higher limit takes that, whoever is told yet.
-            self.of_told.add(at, max(last, named))
+            # An instance accepts a raised limit from routers yet unaware of it.
+            self.of_informed.add(at, max(last, named))
         else:
-            self.of_told.add(at, last)
-        self.of_told_now.add(at, last if last == self.limit() else None)
+            self.of_informed.add(at, last)
+        self.of_informed_now.add(at, last if last == self.limit() else None)
         if self.time < self._first_named() + CONTACT_S:
             return -math.inf
-        return max(self.of_told.beyond(), self.of_told_now.beyond())
+        return max(self.of_informed.beyond(), self.of_informed_now.beyond())
 
     def sent(self, since, until):
-        """Return the requests a second that arrived in a span."""
+        """Return the rate of arrivals in a period, in requests a second."""
         found = [at for at, _ in self.arrivals if since <= at < until]
         return len(found) / (until - since)
 
     def _first_named(self):
-        """Return when the instance began to name a limit, of any value."""
+        """Return since when the instance has named limits without a break."""
         first = math.inf
         for at, per_s in self.limits:
             if at > self.time:
@@ -228,27 +243,27 @@
             first = math.inf if per_s is None else min(first, at)
         return first
 
-    def _moves(self, per_s):
-        """The instance names another limit, or none."""
-        self.of_told_now = Span()
+    def _change_limit(self, per_s):
+        """Change the limit that the instance names, or end it."""
+        self.of_informed_now = Span()
         if per_s is None:
-            self.told.clear()
+            self.received_limits.clear()
             self.ends += 1
-            self.of_told = Span()
+            self.of_informed = Span()
 
-    def _tell(self, name):
-        self.after(TELL_S, self._tell, name)
-        data = self.routers[name].tell(len(self.arrivals))
+    def _gossip(self, name):
+        self.after(GOSSIP_INTERVAL_S, self._gossip, name)
+        data = self.routers[name].compose_message(len(self.arrivals))
         if data is None:
             return
-        for other in self.draw.choices(list(self.routers), k=TOLD_EACH):
+        for other in self.draw.choices(list(self.routers), k=GOSSIP_RECIPIENTS):
             if other != name and self.draw.random() >= self.lost:
-                # Some come late.
+                # Some messages arrive late.
                 way_s = self.draw.choice([0.001, 0.01, 2.0])
-                self.after(way_s, self._hear, other, data)
+                self.after(way_s, self._receive, other, data)
 
-    def _hear(self, name, data):
-        self.routers[name].hear(data)
+    def _receive(self, name, data):
+        self.routers[name].receive(data)
 
     def _offer(self, name):
         self.routers[name].offer()
--- a/tests/components/pacing/test_cold_instances.py
+++ b/tests/components/pacing/test_cold_instances.py
@@ -1,4 +1,4 @@
-"""Tests that a fleet sends no more to cold instances than they bear."""
+"""Tests that a fleet keeps to the rate bound of cold instances."""
 
 import math
 import random
@@ -25,13 +25,13 @@
 MOST = PER_S * BOUNDS.cold_overage + BOUNDS.cold_extra
 ALLOWANCE = Allowance(PER_S, MOST, COLD_SPAN_S)
 COLD = ServiceLimits("svc", cold_start_s=100.0, cold_per_s=PER_S)
-# From the choice of an instance to the request's arrival: at once, or as long
-# as a connection may take.
+# Longest time in seconds from the choice of an instance to the arrival of the
+# request: as long as opening a connection may take.
 WAY_S = 0.4
 
 
 def cold(name, since=0.0):
-    """Return an instance that became cold at a moment, for a long time."""
+    """Return an instance that turned cold at a given time, for long."""
     found = Instance(entry(name))
     found.cold_from = since
     found.cold_until = since + COLD.cold_start_s
@@ -39,7 +39,7 @@
 
 
 def router(name, names, known=True, limits=COLD, started=-100.0):
-    """Return what paces a router's requests."""
+    """Return the pacer of a router."""
     return Pacer(
         name,
         lambda: [one for one in names if one != name],
@@ -55,14 +55,14 @@
 
 
 def arrivals(routers, instance, seconds, draw, restarts=()):
-    """Return when requests arrive that all routers send as soon as they may.
+    """Return arrival times if all routers send as soon as they may.
 
     Args:
-        routers: Functions that return a router that starts at a moment.
-        instance: Where they send.
-        seconds: For how long.
-        draw: Source of draws.
-        restarts: Moments at which all routers start again.
+        routers: Functions that return a pacer, given the router's start time.
+        instance: Instance that receives the requests.
+        seconds: Length of the simulated period.
+        draw: Source of random draws.
+        restarts: Times at which all routers restart.
     """
     found = []
     for build in routers:
@@ -83,7 +83,7 @@
 
 
 def most_in_a_second(times):
-    """Return the most that arrive in any second."""
+    """Return the largest number of arrivals in any second."""
     most = first = 0
     for last, at in enumerate(times):
         while times[first] < at - 1.0:
@@ -94,19 +94,18 @@
 
 @pytest.mark.parametrize("count", [1, 4, 28, 80, 300, 1200])
 @pytest.mark.parametrize("view", ["all", "part", "few"])
-def test_fleet_stays_below_what_a_cold_instance_bears(count, view):
-    """Symptom: a cold instance gets 33 requests in a second and crashes.
+def test_fleet_keeps_to_the_bound_of_a_cold_instance(count, view):
+    """Guards against 33 requests in a second that crash a cold instance.
 
-    Sequence: a failure domain comes back; its instances are idle, and every
-    router chooses them. Cause: the bound is the fleet's, and no router knew of
-    the others' choices.
+    A failure domain comes back, and every router chooses its idle instances.
+    The bound holds for the fleet, and no router knows the others' choices.
     """
     draw, names = random.Random(count), names_of(count)
     if view == "all":
         known = {name: names for name in names}
     else:
-        # Some routers do not know a third of the others yet, or only a third
-        # of the routers know that one in ten is gone.
+        # Some routers do not list a third of the others yet, or still list
+        # the one in ten that is gone.
         part = names[: max(2 * count // 3, 1)]
         few = names[: max(9 * count // 10, 1)]
         other = part if view == "part" else few
@@ -121,15 +120,15 @@
         ]
         times = arrivals(builds, instance, 10.0, draw)
         assert most_in_a_second(times) <= MOST
-        # It warms up by work: at half of what it bears at least.
+        # Requests warm it up, so it must get at least half of its rate.
         assert len(times) >= 10.0 * PER_S / 2
 
 
 @pytest.mark.parametrize("count", [4, 28, 80, 300])
-def test_bound_holds_where_all_routers_start_again(count):
-    """Symptom: after a loss of power the first second brings twice the bound.
+def test_bound_holds_when_all_routers_restart(count):
+    """Guards against twice the bound in the first second after a power loss.
 
-    Cause: a router that starts does not know what it sent before.
+    A router that starts has no record of the requests it sent before.
     """
     draw, names = random.Random(count), names_of(count)
     builds = [
@@ -152,25 +151,25 @@
     found = compute_shares(Allowance(per_s, most, COLD_SPAN_S), routers)
     assert 1 <= found.routers <= routers
     each = math.floor((1.0 + WAY_S) / found.gap_s) + 1
-    # Where not even one request of each router may come, one router is left.
+    # If the bound is below one request of each, a single router has a share.
     senders = min(found.routers * 1.5, routers * NEWCOMER_FACTOR)
     assert found.routers == 1 or senders * each <= most + 1e-6
-    # Over many seconds it is what the instance bears, whatever is allowed.
+    # The average rate stays within the instance's, whatever the window allows.
     assert found.routers / found.gap_s <= per_s
 
 
-def test_router_that_does_not_know_the_others_has_no_share():
-    """Symptom: all routers that have just started take all there is.
+def test_router_without_a_list_of_others_has_no_share():
+    """Guards against routers that each use the full rate after their start.
 
-    Cause: each knows only itself and counts as the one router there is.
+    Each lists only itself then, and would count as the only router.
     """
     lost = router("r-0", [], known=False)
     assert lost.due_at(cold("i"), 9.0) == math.inf
     assert router("r-0", []).due_at(cold("i"), 9.0) == 9.0
 
 
-def test_routers_take_their_first_turns_one_after_the_other():
-    """Symptom: an instance that turns cold gets a request of each at once."""
+def test_first_requests_of_routers_are_staggered():
+    """Guards against a request of each router at once to a cold instance."""
     names = names_of(28)
     due = sorted(
         router(name, names).due_at(cold("i", since=50.0), 50.0)
@@ -192,7 +191,7 @@
     assert one.admits(cold("i"), 5.0)
 
 
-def near(names, mark):
+def routers_with_a_share(names, mark):
     """Return the routers that have a share."""
     ring = Ring(names)
     return {name for name in names if ring.has_share(name, mark, 5)}
@@ -202,10 +201,13 @@
     draw = random.Random(1)
     marks = [draw.randrange(2**32) for _ in range(300)]
     moved = sum(
-        len(near(names_of(32), mark) - near(names_of(28), mark))
+        len(
+            routers_with_a_share(names_of(32), mark)
+            - routers_with_a_share(names_of(28), mark)
+        )
         for mark in marks
     )
-    # Four of 32 take an eighth, more or less by where they stand.
+    # Four of 32 routers get about an eighth, depending on their positions.
     assert moved <= len(marks) * 5 * 0.25
 
 
@@ -220,9 +222,9 @@
 
 
 def test_routers_are_placed_once_for_all_cold_instances(monkeypatch):
-    """Symptom: a router answers nobody for seconds after a loss of power.
+    """Guards against a router that hangs for seconds after a power loss.
 
-    Cause: it ranked 1,200 routers anew for each of 3,000 cold instances.
+    It ranked 1,200 routers again for each of 3,000 cold instances.
     """
     placed = []
     digest = ring._digest
@@ -233,12 +235,12 @@
     placed.clear()
     found = [one.due_at(cold(f"i-{number}"), 9.0) for number in range(3000)]
     assert len(placed) == 1200
-    # Each instance has 21 sharers of 1,200.
+    # 21 of 1,200 routers have a share of each instance.
     assert 20 <= sum(at < math.inf for at in found) <= 90
 
 
 class Stage:
-    """One router before warm and cold instances."""
+    """One router with warm and cold instances."""
 
     def __init__(self, *, warm=(), chilled=(), share=True, monkeypatch=None):
         self.directory = Directory()
@@ -247,7 +249,7 @@
             self.directory.take(entry(name))
         for name in chilled:
             self.directory.take(entry(name, cold_left_s=3.0))
-            # For long enough that this router's first turn has come.
+            # Cold for so long that this router may send its first request.
             self.directory.instances[name].cold_from -= 2.0
         self.chooser = Chooser(self.directory, "a", random.Random(3))
         others = [] if share else names_of(3)
@@ -262,23 +264,23 @@
         return self.chooser.reserve("svc", lambda _: True, 1.0, by)
 
 
-def test_cold_instances_get_their_turns_and_no_more():
+def test_cold_instances_get_only_scheduled_requests():
     stage = Stage(warm=["w"], chilled=["c"])
     stage.directory.instances["w"].running = 20
     chosen = [stage.choose() for _ in range(5)]
     assert chosen == ["c", "w", "w", "w", "w"]
 
 
-def test_router_without_a_share_leaves_it_to_others():
+def test_router_without_a_share_sends_nothing():
     stage = Stage(warm=["w"], chilled=["c"], share=False)
     stage.directory.instances["w"].running = 50
     assert {stage.choose() for _ in range(5)} == {"w"}
 
 
 def test_service_that_is_all_cold_is_served_in_turns():
-    """Symptom: all is refused after a loss of power, or all instances crash.
+    """Guards against refusals of all requests, or crashes, after a power loss.
 
-    Cause: an instance was either used as it were warm, or not at all.
+    A cold instance was used either like a warm one or not at all.
     """
     stage = Stage(chilled=["c-1", "c-2"])
     assert {stage.choose(), stage.choose()} == {"c-1", "c-2"}
@@ -287,14 +289,14 @@
     gap_s = compute_shares(ALLOWANCE, 1).gap_s
     turns = [stage.reserve(1.0) for _ in range(4)]
     assert turns[0].instance is not turns[1].instance
-    # Each is booked for one request alone.
+    # Each reservation is for a single request.
     assert turns[2].at - turns[0].at == pytest.approx(gap_s, abs=0.01)
     assert sum(one.running for one in stage.directory.of_service("svc")) == 6
     after_s = stage.chooser.next_turn_s("svc", lambda _: True)
     assert after_s == pytest.approx(3 * gap_s, abs=0.05)
 
 
-def test_who_has_no_share_is_told_when_it_is_warm():
+def test_wait_without_a_share_lasts_until_the_instance_is_warm():
     stage = Stage(chilled=["c"], share=False)
     assert stage.choose() is None
     assert stage.reserve(9.0) is None
@@ -307,10 +309,10 @@
     [
         ([entry("i")], False),
         ([entry("i", cold_left_s=2.0)], True),
-        # It became cold again, or says that it is warm.
+        # Its entry reports that it is cold again, or that it is warm.
         ([entry("i"), entry("i", cold_left_s=2.0)], True),
         ([entry("i", cold_left_s=2.0), entry("i")], False),
-        # Another start of it.
+        # A new incarnation.
         ([entry("i", born=1), entry("i", born=2, cold_left_s=2.0)], True),
     ],
 )
@@ -325,10 +327,10 @@
 
 
 def test_reopened_domain_counts_as_cold():
-    """Symptom: instances get 33 requests in a second as a cordon is lifted.
+    """Guards against 33 requests in a second as a cordon is lifted.
 
-    Cause: they turned cold a moment before, which their entries say only at
-    their next renewal.
+    The instances turned cold just before, which their entries report only at
+    the next renewal.
     """
     stage = Stage(warm=["w"])
     stage.directory.cordon(frozenset({"a"}))
--- a/tests/components/pacing/test_named_limits.py
+++ b/tests/components/pacing/test_named_limits.py
@@ -1,4 +1,4 @@
-"""Tests that a fleet keeps to the limits that instances name."""
+"""Tests that a fleet keeps to the rate limits that instances name."""
 
 import math
 
@@ -27,14 +27,14 @@
 
 
 def test_fleet_keeps_to_a_limit_that_an_instance_names():
-    """Guards against: an instance in need gets as much as all others.
+    """Guards against an overloaded instance with as many requests as others.
 
-    Symptom: 22 requests in 4 s where it names 2 a second. Cause: no router
-    knew of the limit, and an instance that answers quickly looks idle.
+    It got 22 requests in 4 s with a limit of 2 a second: routers ignored the
+    limit, and an instance that answers quickly looks idle.
     """
     fleet = Fleet(4, [(1.0, 2.0)])
     assert fleet.run(30.0) <= 0
-    # It is used all the while, at half of what it takes at least.
+    # It gets at least half of its limit all the time.
     assert fleet.sent(6.0, 30.0) >= 1.0
 
 
@@ -42,17 +42,17 @@
 @pytest.mark.parametrize("view", ["all", "part", "few"])
 @pytest.mark.parametrize("count", [1, 4, 16, 28, 68, 300])
 def test_bound_holds_in_fleets_of_any_size(count, view, lost):
-    """Guards against: a bound that holds for few routers only, or with news.
+    """Guards against a bound that holds only in small or well informed fleets.
 
-    Sequence: all send all they may; some know too few others; messages are
-    late or lost.
+    All routers send as much as they may; some list too few others; gossip
+    messages are late or lost.
     """
     every_s = max(0.05, count / 600)
     rates = (0.5, 3.0, 50.0) if count > 100 else (0.2, 0.5, 3.0, 11.5, 50.0)
     for seed, per_s in enumerate(rates):
         fleet = Fleet(count, [(1.0, per_s)], seed, every_s, view, lost)
         assert fleet.run(20.0) <= 0, per_s
-        # What comes is what it takes, but for turns that are far apart.
+        # Throughput is close to the limit, unless requests are far apart.
         if count / every_s >= 2 * per_s >= 6.0:
             assert fleet.sent(8.0, 20.0) >= 0.6 * per_s, per_s
 
@@ -66,11 +66,11 @@
 @pytest.mark.parametrize(
     "limits",
     [
-        # It rises, falls, ends, comes back.
+        # The limit rises, falls, ends, comes back.
         [(1.0, 3.0), (8.0, 12.0), (16.0, 1.0)],
         [(1.0, 8.0), (8.0, None), (16.0, 2.0)],
         [(1.0, 2.0), (7.0, None), (7.5, 2.0), (15.0, None), (15.2, 4.0)],
-        # It takes nothing at all.
+        # The limit is 0 for a while.
         [(1.0, 3.0), (10.0, 0.0), (20.0, 3.0)],
     ],
 )
@@ -83,11 +83,11 @@
 
 @pytest.mark.parametrize("count", [4, 16, 28, 68])
 @pytest.mark.parametrize("lost", [0.0, 1.0])
-def test_bound_holds_where_routers_start_again(count, lost):
-    """Guards against: each start of a router sends as if it were the first.
+def test_bound_holds_when_routers_restart(count, lost):
+    """Guards against restarted routers that send as if nothing were sent.
 
-    Sequence: routers are killed one after the other, then all at once, while
-    an instance names its limit.
+    Routers are killed one after the other, then all at once, while an instance
+    names its limit.
     """
     for seed in range(3):
         fleet = Fleet(count, [(1.0, 3.0)], seed, lost=lost)
@@ -99,16 +99,16 @@
 
 @pytest.mark.parametrize("count", [1, 4, 16])
 def test_instance_gets_its_full_load_again(count):
-    """Guards against: an instance that is shunned for good."""
+    """Guards against an instance that routers avoid after its limit ended."""
     fleet = Fleet(count, [(1.0, 2.0), (12.0, None)], every_s=0.1, lost=0.3)
     fleet.run(60.0)
     assert fleet.sent(4.0, 12.0) <= 2.0 * LIMIT_OVERAGE
-    # All of what is offered goes there again, as it did before.
+    # It gets all offered requests again, as before the limit.
     assert fleet.sent(45.0, 60.0) >= 0.9 * count / 0.1
 
 
 def test_large_fleet_comes_back_to_an_instance():
-    """Guards against: who has no share never learns that a limit is over."""
+    """Guards against routers without a share that miss the limit's end."""
     fleet = Fleet(28, [(1.0, 3.0), (12.0, None)], every_s=0.2, lost=1.0)
     fleet.run(80.0)
     limited = [
@@ -132,15 +132,15 @@
     each = math.floor((LIMIT_SPAN_S + 0.4) / found.gap_s) + 1
     by_views = found.routers * VIEW_FACTOR + math.sqrt(found.routers)
     senders = min(by_views, routers * NEWCOMER_FACTOR)
-    # Where not even one request of each router may come, one router is left.
+    # If the bound is below one request of each, a single router has a share.
     assert found.routers == 1 or senders * each <= most + 1e-6
-    # Over many seconds it is what the instance takes, of all of them.
+    # The average rate of all routers stays within the instance's limit.
     rest = (routers - found.routers) / found.probe_gap_s
     assert found.routers / found.gap_s + rest <= per_s + 1e-9
 
 
 class Clock:
-    """A clock that is set."""
+    """A clock that the test sets."""
 
     def __init__(self):
         self.time = 100.0
@@ -155,15 +155,15 @@
         # (seconds later, what happens)
         ([(0, ("answer", 3.0))], 3.0),
         ([(0, ("answer", 3.0)), (1, ("none", 0.5))], None),
-        # Its request was sent before the limit was heard of.
+        # The request was sent before the limit was received.
         ([(0, ("answer", 3.0)), (1, ("none", 1.5))], 3.0),
-        # The same of one that names a higher limit, not of a lower one.
+        # Such an answer may lower the limit, but not raise it.
         ([(0, ("answer", 1.0)), (1, ("overtaken", 3.0))], 1.0),
         ([(0, ("answer", 1.0)), (1, ("answer", 3.0))], 3.0),
         ([(0, ("answer", 3.0)), (1, ("overtaken", 1.0))], 1.0),
-        # Only its own answers end what it told itself.
+        # A limit from the instance's answers ends only by its answers.
         ([(0, ("answer", 3.0)), (500, None)], 3.0),
-        # Another router's word lowers it for a while, and never raises it.
+        # Another router's report lowers it for a while, and never raises it.
         ([(0, ("told", 2.0))], 2.0),
         ([(0, ("told", 2.0)), (TOLD_S, None)], None),
         ([(0, ("answer", 3.0)), (1, ("told", 2.0))], 2.0),
@@ -172,13 +172,13 @@
         ([(0, ("told", 2.0)), (1, ("answer", 3.0))], 3.0),
         ([(0, ("told", 2.0)), (1, ("none", 0.5))], None),
         ([(0, ("told", 2.0)), (1, ("none", 1.5))], 2.0),
-        # News of before the end of a limit is old.
+        # A report from before a limit's end is outdated.
         ([(0, ("none", 0.0)), (0.1, ("late", 2.0))], None),
-        # Whichever of the answers without one comes last.
+        # The same with answers without a limit that arrive out of order.
         ([(0, ("none", 3.0)), (0, ("none", 9.0)), (0, ("late", 2.0))], None),
     ],
 )
-def test_whose_word_counts(steps, per_s):
+def test_limit_after_answers_and_reports(steps, per_s):
     clock = Clock()
     memory, signals = SignalMemory(clock), Signals()
     limit = signals.limit
@@ -204,8 +204,8 @@
     assert limit.at(clock.time) == per_s
 
 
-def test_only_what_was_heard_itself_is_told_on():
-    """Guards against: two routers that tell each other of a limit for ever."""
+def test_only_limits_from_own_answers_are_reported():
+    """Guards against two routers that repeat a limit to each other forever."""
     fleet = Fleet(2, [])
     first, second = fleet.routers.values()
     first.directory.signals.answered(
@@ -215,12 +215,12 @@
     hear_limits(second.directory, Message("r-0", 0, 1, limits=[row]))
     assert second.instance.limit.at(fleet.now()) == 3.0
     assert limits_of(second.directory) == []
-    # Nor what was not heard for long.
+    # Nor is a limit reported that no answer named for long.
     fleet.time += TOLD_S
     assert limits_of(first.directory) == []
 
 
-def test_limit_of_an_unknown_instance_is_passed_over():
+def test_limit_of_an_unknown_instance_is_ignored():
     fleet = Fleet(1, [])
     [one] = fleet.routers.values()
     row = LimitRow(one.instance.mark + 1, 0.0, MAX_AGE_MS)
@@ -259,8 +259,8 @@
     ],
 )
 @pytest.mark.parametrize("restarts", [False, True])
-def test_bound_holds_where_a_limit_leaps(count, limits, restarts):
-    """Guards against: a limit that goes up and down again within seconds."""
+def test_bound_holds_when_a_limit_changes_often(count, limits, restarts):
+    """Guards against limits that rise and fall again within seconds."""
     for seed in range(10):
         fleet = Fleet(count, limits, seed)
         for name in fleet.routers if restarts else ():
--- a/tests/components/routers/__init__.py
+++ b/tests/components/routers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of routers."""
+"""Tests of the discovery of routers and of their status."""
--- a/tests/components/routers/test_routers.py
+++ b/tests/components/routers/test_routers.py
@@ -1,4 +1,4 @@
-"""Tests of what routers tell each other through the store."""
+"""Tests of the entries and status that routers publish in the store."""
 
 import random
 import time
@@ -20,7 +20,7 @@
 
 
 class Store:
-    """Keeps objects of any kind, as the platform's store does."""
+    """A simulated store with objects of any kind."""
 
     def __init__(self):
         self.objects = {}
@@ -40,13 +40,13 @@
         return True, stored
 
     def write(self, kind, name, spec, expect, _):
-        """Write a spec."""
+        """Write an object's spec."""
         return self._put(kind, name, expect, spec=spec)
 
     write_over = ObjectApi.write_over
 
     def write_status(self, kind, name, status, expect, _):
-        """Write a status."""
+        """Write an object's status."""
         return self._put(kind, name, expect, status=status)
 
     def remove(self, kind, name, expect, _):
@@ -61,7 +61,7 @@
 
 
 class Fleet:
-    """Routers with one store, which see its objects when they are told to."""
+    """Routers with a common store; `see` makes one read its objects."""
 
     def __init__(self, *names):
         self.store = Store()
@@ -71,7 +71,7 @@
             self.start(name, "1")
 
     def start(self, name, incarnation):
-        """Start a router, or start it again."""
+        """Start or restart a router."""
         entry = RouterEntry(f"{name}:1", incarnation)
         found = Routers(self.store, name, entry, lambda: (), random.Random(1))
         found.on_status = lambda router, status: self.statuses.append(
@@ -82,7 +82,7 @@
         return found
 
     def see(self, name):
-        """Have a router read all routers' objects."""
+        """Make a router read the objects of all routers."""
         for (kind, _), stored in self.store.objects.items():
             if kind == KIND_ROUTERS:
                 self.routers[name].take(stored)
@@ -93,19 +93,19 @@
     assert fleet.routers["r-1"].publish({"f": ["i-1"]})
     fleet.see("r-2")
     assert fleet.statuses == [("r-2", "r-1", {"f": ["i-1"]})]
-    # A further announcement keeps what was told.
+    # A further announcement keeps the status.
     assert fleet.routers["r-1"].announce()
     fleet.see("r-2")
     assert fleet.statuses[-1] == ("r-2", "r-1", {"f": ["i-1"]})
 
 
 @pytest.mark.parametrize("shift_s", [0.0, 200.0, -200.0, 301.0, -301.0])
-def test_what_an_earlier_start_told_counts_for_a_while(monkeypatch, shift_s):
-    """Guards against a crashing request that all routers forget at once.
+def test_recent_status_of_an_earlier_incarnation_is_valid(monkeypatch, shift_s):
+    """Guards against a poison request that all routers forget at once.
 
-    Symptom: it ends three engines more. Sequence: all routers are killed, or
-    lose power; the request comes again. Cause: what earlier starts had told
-    was there, and void. What is old may be of another day and stays void.
+    All routers are killed, or lose power; the request comes again and crashes
+    three more engines, since the stored status of earlier incarnations was
+    ignored. An old status may be outdated and stays ignored.
     """
     fleet = Fleet("r-1", "r-2")
     fleet.routers["r-1"].publish({"f": ["i-1"]})
@@ -120,7 +120,7 @@
     fleet.see("r-1")
     own = [one for one in fleet.statuses if one[1] == "r-1"]
     assert own == [("r-1", "r-1", losses)]
-    # What this start tells goes in place of it.
+    # The status of the new incarnation replaces it.
     assert fleet.routers["r-1"].publish({"g": ["i-2"]})
     fleet.statuses.clear()
     fleet.see("r-1")
@@ -130,7 +130,7 @@
     assert fleet.statuses == [("r-2", "r-1", {"g": ["i-2"]})]
 
 
-def test_status_without_a_time_of_an_earlier_start_is_void():
+def test_status_of_an_earlier_incarnation_without_a_time_is_invalid():
     fleet = Fleet("r-1", "r-2")
     router = fleet.routers["r-1"]
     told = {"incarnation": "0", "losses": {"f": ["i-1"]}}
@@ -144,13 +144,13 @@
     [
         ("r-2", "r-2", True),
         ("r-2", "r-3", False),
-        # No router's name, and its own, which nobody else may tell by.
+        # An unknown name, an empty one, and its own, which no other may use.
         ("r-9", "r-2", False),
         ("", "", False),
         ("r-1", "r-1", False),
     ],
 )
-def test_a_router_is_where_its_entry_says(name, host, known):
+def test_router_has_the_address_of_its_entry(name, host, known):
     fleet = Fleet("r-1", "r-2", "r-3")
     fleet.see("r-1")
     assert fleet.routers["r-1"].is_at(name, host) is known
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize("status", [7, {"incarnation": 3}, {"losses": "x"}])
-def test_odd_status_is_passed_over(status):
+def test_invalid_status_is_ignored(status):
     fleet = Fleet("r-1", "r-2")
     key = (KIND_ROUTERS, "r-1")
     fleet.store.objects[key].status = status
@@ -179,10 +179,10 @@
 
 
 def test_routers_that_are_gone_are_removed(monkeypatch):
-    """Symptom: retries grow ever scarcer while machines are replaced.
+    """Guards against a retry budget that shrinks as machines are replaced.
 
-    Cause: each router's object stayed for good, and the fleet's retries were
-    divided by all that ever were.
+    Each router's object stayed forever, and the fleet's retry budget was
+    divided by the number of all routers that had ever existed.
     """
     fleet = Fleet("r-1", "r-2", "r-3")
     now = time.time()
@@ -195,7 +195,7 @@
     entry = fleet.routers["r-3"].entry
     fleet.routers["r-1"].drop(StoredObject("r-3", 99, spec=entry))
     assert fleet.routers["r-1"].count() == 2
-    # One that was away, not gone, comes back.
+    # A router that was only unreachable announces itself again.
     assert not fleet.routers["r-3"].announce()
     assert fleet.routers["r-3"].announce()
     fleet.see("r-1")
