--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -41,7 +41,7 @@
     timeouts_before_retry,
     timeouts_of_last_attempt,
 )
-from lacewingdock.components.pacing.const import WAIT_PART
+from lacewingdock.components.pacing.const import MAX_WAIT_SHARE
 from lacewingdock.components.shifts import VersionSample
 from lacewingdock.components.suspects.decision import Decision
 from lacewingdock.components.upstreams.connection import CallerLeft
@@ -289,7 +289,7 @@
         """
         if self.may_have_run:
             return self.end - MIN_LEFT_S
-        part = WAIT_PART * (1.0 - self.priority() / (LAST_PRIORITY + 1))
+        part = MAX_WAIT_SHARE * (1.0 - self.priority() / (LAST_PRIORITY + 1))
         goal_by = time.monotonic() + self.route.goal_s * part
         return min(goal_by, self.end - MIN_LEFT_S)
 
--- a/lacewingdock/daemons/router_timing.py
+++ b/lacewingdock/daemons/router_timing.py
@@ -11,13 +11,13 @@
 from typing import Final
 
 from lacewingdock.components.mirror import (
-    LOOK_S,
+    POLL_TIMEOUT_S,
     RETRY_LIMIT_S,
     RETRY_S,
     WATCH_GRACE_S,
 )
 from lacewingdock.components.relay.const import ASK_S, SPREAD
-from lacewingdock.components.routers import ASKED, PULL_S
+from lacewingdock.components.routers import PULL_TIMEOUT_S, ROUTERS_PER_PULL
 from lacewingdock.components.shifts.const import (
     FORCE_BEFORE_S,
     REPORT_BAD_S,
@@ -121,7 +121,7 @@
 
 
 def _follow_limit_s(bound_s: float, disturbed_s: float) -> float:
-    silent_s = LOOK_S + RETRY_S + ANSWER_S + FOLLOW_SPARE_S
+    silent_s = POLL_TIMEOUT_S + RETRY_S + ANSWER_S + FOLLOW_SPARE_S
     return min(bound_s - ANSWER_S - FOLLOW_SPARE_S, disturbed_s - silent_s)
 
 
@@ -151,7 +151,13 @@
     Until then another kind's calls, or the watchers', find out whether the
     store is back: an outage costs calls of a few routers, not of all.
     """
-    rest = LOOK_S + ASKED * PULL_S + BACK_LOOK_S + ANSWER_S + SPARE_S
+    rest = (
+        POLL_TIMEOUT_S
+        + ROUTERS_PER_PULL * PULL_TIMEOUT_S
+        + BACK_LOOK_S
+        + ANSWER_S
+        + SPARE_S
+    )
     return max(bounds.contact_s - rest, RETRY_LIMIT_S)
 
 
@@ -184,7 +190,7 @@
 _HEARD: Final = (_PAUSE, _ANSWER)
 _PASSED_ON: Final = (
     Delay("question of a follower", 2 * ASK_S),
-    Delay("fetch from the watcher", PULL_S),
+    Delay("fetch from the watcher", PULL_TIMEOUT_S),
 )
 
 
@@ -257,7 +263,13 @@
         PropagationPath(
             promise,
             "heard after others were asked for a missing entry",
-            (Delay("questions to other routers", ASKED * PULL_S), *heard),
+            (
+                Delay(
+                    "questions to other routers",
+                    ROUTERS_PER_PULL * PULL_TIMEOUT_S,
+                ),
+                *heard,
+            ),
             *drain,
         ),
         *_disturbed(promise, entries_watch_s(bounds), bounds),
@@ -402,8 +414,11 @@
             promise,
             "store answers again",
             (
-                Delay("call that hangs", LOOK_S),
-                Delay("questions to other routers", ASKED * PULL_S),
+                Delay("call that hangs", POLL_TIMEOUT_S),
+                Delay(
+                    "questions to other routers",
+                    ROUTERS_PER_PULL * PULL_TIMEOUT_S,
+                ),
                 Delay("longest pause in an outage", outage_pause_s(bounds)),
                 Delay("look whether the store is back", BACK_LOOK_S),
                 _ANSWER,
@@ -432,7 +447,7 @@
         Delay("look at the age", FOLLOW_SPARE_S),
     )
     again = (
-        Delay("call that hangs", LOOK_S),
+        Delay("call that hangs", POLL_TIMEOUT_S),
         Delay("pause after a failure", RETRY_S),
     )
     contact = within or ("contact", bounds.contact_s)
--- a/tests/daemons/test_router_timing.py
+++ b/tests/daemons/test_router_timing.py
@@ -88,8 +88,8 @@
     ("constant", "more_s"),
     [
         ("CHANGES_PAUSE_S", 1.5),
-        ("LOOK_S", 0.4),
-        ("ASKED", 1),
+        ("POLL_TIMEOUT_S", 0.4),
+        ("ROUTERS_PER_PULL", 1),
         ("RETRY_LIMIT_S", 0.4),
         ("CONNECT_S", 1.2),
         ("ANSWER_S", 0.9),
