--- a/lacewingdock/components/gateway/attempt.py
+++ b/lacewingdock/components/gateway/attempt.py
@@ -12,7 +12,7 @@
     TimedOut,
     UpstreamConnection,
 )
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.components.upstreams.pool import ConnectionPool
 from lacewingdock.exceptions import UpstreamLost
 from lacewingdock.helpers.server_connection import ServerConnection
@@ -172,7 +172,7 @@
     def __init__(
         self,
         pool: ConnectionPool,
-        instance: Instance,
+        instance: UpstreamInstance,
         call: Call,
         caller: ServerConnection,
         patience: Patience,
@@ -209,7 +209,7 @@
             CallerGone: Nothing can be sent to the caller any more.
         """
         try:
-            connection = self.pool.take(self.instance.entry, sending.left_s)
+            connection = self.pool.acquire(self.instance.entry, sending.left_s)
         except UpstreamLost as error:
             return NotRun(error.detail, reached=False)
         if self.is_withheld():
@@ -228,7 +228,7 @@
             if head is None:
                 connection.close()
         if head is not None:
-            self.pool.give_back(
+            self.pool.release(
                 self.instance.entry, connection, head.keep_s, head.closes
             )
         return result
@@ -263,12 +263,12 @@
         self.head = head
         if not head.is_by_other(self.instance.entry.id):
             # What another start says is no life of this one.
-            self.instance.heard_at = connection.heard_at
+            self.instance.last_received_at = connection.last_received_at
         self.began_at = time.monotonic()
         self.began()
         self.on_head(head)
         if head.not_run:
-            connection.read_whole(self.patience.end, MAX_BODY_BYTES)
+            connection.read_full_body(self.patience.end, MAX_BODY_BYTES)
             return self._not_run(head), head
         if head.success and (not head.sealed or head.encoded):
             return Broken("answer is not the upstream's own"), None
@@ -277,7 +277,7 @@
             return Unsure(head.confidence or 0.0), None
         if self.streaming and head.success:
             return self._relay(connection, head)
-        body = connection.read_whole(self.patience.end, MAX_BODY_BYTES)
+        body = connection.read_full_body(self.patience.end, MAX_BODY_BYTES)
         return Whole(head, body), head
 
     def _not_run(self, head: AnswerHead) -> NotRun:
@@ -296,12 +296,12 @@
         while True:
             data = self._wait(connection, wait, connection.read_body)
             if last_at and data is not None:
-                pause_s = connection.heard_at - last_at
+                pause_s = connection.last_received_at - last_at
                 self.on_pause(pause_s)
-            self.instance.heard_at = connection.heard_at
+            self.instance.last_received_at = connection.last_received_at
             if data is None:
                 break
-            last_at = connection.heard_at
+            last_at = connection.last_received_at
             self._pass_on(head, cutter, data)
             wait = self.patience.gap
         # An answer without a length ends with its connection.
--- a/lacewingdock/components/gateway/attempt_log.py
+++ b/lacewingdock/components/gateway/attempt_log.py
@@ -4,7 +4,7 @@
 
 from lacewingdock.components.gateway.attempt import Result
 from lacewingdock.components.upstreams.choice import Chooser
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.world.call import AnswerHead, Call
 
@@ -15,7 +15,7 @@
     chooser: Chooser,
     call: Call,
     model: str,
-    instance: Instance,
+    instance: UpstreamInstance,
     result: Result,
     head: AnswerHead | None,
     seconds: float,
@@ -42,7 +42,7 @@
         cold=instance.is_cold(now),
         limit_per_s=instance.limit.at(now),
         rest_s=round(max(instance.rest.until - now, 0.0), 3),
-        heard_s=round(now - instance.heard_at, 3),
+        heard_s=round(now - instance.last_received_at, 3),
         status=head.status if head else None,
         says_limit_per_s=head.limit_per_s if head else None,
         says_rest_s=head.rest_s if head else None,
--- a/lacewingdock/components/gateway/cascade.py
+++ b/lacewingdock/components/gateway/cascade.py
@@ -11,7 +11,7 @@
     Pressure,
 )
 from lacewingdock.components.upstreams.choice import Chooser
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.world.call import AnswerHead, Call
 from lacewingdock.world.route import Repeat, Route
@@ -111,7 +111,7 @@
             left_s=round(left_s, 3),
         )
 
-    def placed(self, instance: Instance, *, goes_on: bool) -> None:
+    def placed(self, instance: UpstreamInstance, *, goes_on: bool) -> None:
         """Have the largest model answer at an instance that names a limit.
 
         There each attempt counts alike, and its time does not: an answer that
@@ -158,6 +158,6 @@
             self.route.repeat is Repeat.RESUMABLE
             and self.route.max_attempts > ATTEMPTS_OF_CASCADE
             and self.gateway.budget(self.service).saved >= CASCADE_RESERVE
-            and not self.gateway.chooser.takes_few(self.service)
+            and not self.gateway.chooser.is_paced(self.service)
         )
         return models[0] if may_ask_on else models[-1]
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -39,8 +39,8 @@
 from lacewingdock.components.suspects.decision import Decision
 from lacewingdock.components.upstreams.connection import CallerLeft
 from lacewingdock.components.upstreams.instance import (
-    FAILURES_TO_PASS_OVER,
-    Instance,
+    EJECTION_FAILURES,
+    UpstreamInstance,
 )
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.log import get_logger
@@ -238,7 +238,7 @@
                 return answered(head.status)
             return self._give_up(result)
 
-    def _choose(self) -> Instance:
+    def _choose(self) -> UpstreamInstance:
         """Return the instance of the next attempt.
 
         Raises:
@@ -300,7 +300,7 @@
         share = costs.relative_cost(self.cascade.model) if costs else 1.0
         return call.tokens_in * share / WORK_UNIT
 
-    def _attempt(self, instance: Instance) -> Result:
+    def _attempt(self, instance: UpstreamInstance) -> Result:
         start, unread = time.monotonic(), self.unread
         attempt = Attempt(
             self.gateway.pool,
@@ -310,7 +310,10 @@
             self._patience(instance),
             self.progress,
             self.route.streaming,
-            lambda: self._is_held() or not instance.takes_any(time.monotonic()),
+            lambda: (
+                self._is_held()
+                or not instance.accepts_requests(time.monotonic())
+            ),
             # This attempt is not among those counted yet.
             lambda head: self.cascade.accepts(head, len(self.tried) + 1),
             lambda head: self.gateway.answered(instance, head, start),
@@ -363,12 +366,12 @@
             rank = self.caller.priority
         return min(max(rank, 0), LAST_PRIORITY)
 
-    def _patience(self, instance: Instance) -> Patience:
+    def _patience(self, instance: UpstreamInstance) -> Patience:
         """Return how long an attempt waits."""
         may_repeat = (
             self.route.repeat is not Repeat.ONCE
             and len(self.tried) + 1 < self.route.max_attempts
-            and self.gateway.chooser.has_other(
+            and self.gateway.chooser.has_untried_instance(
                 self.service, [*self.tried, instance.entry.incarnation]
             )
         )
@@ -390,7 +393,11 @@
             self.gateway.pressure(self.service).slowdown.ended(mean_s)
 
     def _learn(
-        self, instance: Instance, result: Result, start: float, events: int
+        self,
+        instance: UpstreamInstance,
+        result: Result,
+        start: float,
+        events: int,
     ) -> None:
         """Take what an attempt shows of its instance and its version."""
         match result:
@@ -398,8 +405,8 @@
                 return
             case NotRun(_, reached=False):
                 self.unreached += 1
-                instance.took_no_connection()
-                self.gateway.chooser.directory.may_be_cold(instance)
+                instance.record_connect_failure()
+                self.gateway.chooser.directory.assume_cold(instance)
                 return
             case NotRun(replaced_by=other) if other:
                 # It says nothing of the request, which may go to as many
@@ -436,13 +443,13 @@
             self.call.session,
         )
 
-    def _succeeded(self, instance: Instance) -> None:
+    def _succeeded(self, instance: UpstreamInstance) -> None:
         """Count a good answer; one that was down for a while may be cold."""
-        if instance.recent_failures(time.monotonic()) >= FAILURES_TO_PASS_OVER:
-            self.gateway.chooser.directory.may_be_cold(instance)
+        if instance.recent_failures(time.monotonic()) >= EJECTION_FAILURES:
+            self.gateway.chooser.directory.assume_cold(instance)
         instance.succeeded()
 
-    def _note_loss(self, instance: Instance, result: Broken) -> None:
+    def _note_loss(self, instance: UpstreamInstance, result: Broken) -> None:
         """Note that an instance lost the request, which may be the cause."""
         suspects, start = self.gateway.suspects, instance.entry.incarnation
         if not result.ended:
@@ -481,7 +488,7 @@
             return self._break_off(detail)
         if self.crashes and not self.may_have_run:
             raise repeats_crash()
-        after_s = self.gateway.chooser.next_turn_s(self.service)
+        after_s = self.gateway.chooser.next_send_s(self.service)
         raise self._no_answer(detail, after_s)
 
     def _break_off(self, detail: str) -> Outcome:
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -14,7 +14,7 @@
 from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.suspects import Suspects
 from lacewingdock.components.upstreams.choice import Chooser
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.components.upstreams.pool import ConnectionPool
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger
@@ -113,7 +113,7 @@
         return self.pressures.setdefault(service, Pressure())
 
     def answered(
-        self, instance: Instance, head: AnswerHead, sent_at: float
+        self, instance: UpstreamInstance, head: AnswerHead, sent_at: float
     ) -> None:
         """Take what the head of an answer says of its instance.
 
--- a/lacewingdock/components/gateway/placing.py
+++ b/lacewingdock/components/gateway/placing.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from lacewingdock.components.shifts import VersionRule
-from lacewingdock.components.upstreams.choice import Chooser, Turn
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.choice import Chooser, Reservation
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.log import get_logger
 
 log = get_logger("gateway")
@@ -33,7 +33,7 @@
     request: str
     turn_by: float
 
-    def allows(self, instance: Instance) -> bool:
+    def allows(self, instance: UpstreamInstance) -> bool:
         """Whether an instance may run it."""
         return self.rule.admits(instance.entry)
 
@@ -49,7 +49,9 @@
     after_s: float | None
 
 
-def find_place(chooser: Chooser, seeker: Seeker) -> Instance | Turn | NoPlace:
+def find_place(
+    chooser: Chooser, seeker: Seeker
+) -> UpstreamInstance | Reservation | NoPlace:
     """Return where a request goes now, counted in there.
 
     Where all that may run it take few, it is a turn that is yet to come.
@@ -68,14 +70,14 @@
     )
     if turn is not None:
         return turn
-    return NoPlace(chooser.next_turn_s(seeker.service, seeker.allows))
+    return NoPlace(chooser.next_send_s(seeker.service, seeker.allows))
 
 
-def place(chooser: Chooser, seeker: Seeker) -> Instance | NoPlace:
+def place(chooser: Chooser, seeker: Seeker) -> UpstreamInstance | NoPlace:
     """Return the instance that a request goes to, once it is its turn."""
     while True:
         found = find_place(chooser, seeker)
-        if not isinstance(found, Turn):
+        if not isinstance(found, Reservation):
             return found
         wait_s = max(found.at - time.monotonic(), 0.0)
         log.info(
@@ -86,7 +88,7 @@
             wait_s=round(wait_s, 3),
         )
         time.sleep(wait_s)
-        if found.instance.takes_any(time.monotonic()):
+        if found.instance.accepts_requests(time.monotonic()):
             return found.instance
         # It left or was cordoned meanwhile.
         chooser.began(found.instance, seeker.unread)
--- a/lacewingdock/components/gossip/limits.py
+++ b/lacewingdock/components/gossip/limits.py
@@ -2,7 +2,7 @@
 
 from lacewingdock.components.gossip import MAX_LIMITS, LimitRow, Message
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.components.upstreams.limits import TOLD_S
+from lacewingdock.components.upstreams.limits import PEER_LIMIT_S
 
 
 def limits_of(directory: Directory) -> list[LimitRow]:
@@ -15,7 +15,7 @@
     for one in list(directory.instances.values()):
         # Read once: an answer may end it at any moment.
         per_s, age_s = one.limit.own_per_s, now - one.limit.named_at
-        if per_s is not None and age_s < TOLD_S:
+        if per_s is not None and age_s < PEER_LIMIT_S:
             age_ms = max(round(age_s * 1000), 0)
             rows.append(LimitRow(one.mark, per_s, age_ms))
     rows.sort(key=lambda row: row.age_ms)
@@ -28,7 +28,7 @@
     for row in message.limits:
         found = directory.by_mark(row.mark)
         if found is not None:
-            directory.signals.told_limit(
+            directory.signals.apply_peer_limit(
                 found.entry,
                 found.limit,
                 row.per_s,
--- a/lacewingdock/components/gossip/load.py
+++ b/lacewingdock/components/gossip/load.py
@@ -97,7 +97,7 @@
     now = time.monotonic()
     for row in message.rows:
         if 0 <= row.quiet_ms <= QUIET_MOST_MS:
-            directory.heard_by_other(row.mark, now - row.quiet_ms / 1000)
+            directory.received_by_peer(row.mark, now - row.quiet_ms / 1000)
 
 
 def rows_of(directory: Directory) -> list[Row]:
@@ -108,7 +108,7 @@
             one.mark,
             one.running,
             max(round(one.unread / UNREAD_UNIT), 0),
-            _quiet_ms(now - one.heard_at),
+            _quiet_ms(now - one.last_received_at),
         )
         for one in list(directory.instances.values())
         if one.running > 0
--- a/lacewingdock/components/inspection/gather.py
+++ b/lacewingdock/components/inspection/gather.py
@@ -62,7 +62,7 @@
             unread=round(one.unread, 2),
             others_running=fleet_load.at(one.mark).running,
             failures=round(one.recent_failures(now), 2),
-            heard_s=age_s(one.heard_at),
+            heard_s=age_s(one.last_received_at),
             limit_per_s=one.limit.at(now),
             limit_s=age_s(one.limit.named_at),
             leaving_s=age_s(one.signals.leaving_since),
--- a/lacewingdock/components/pacing/__init__.py
+++ b/lacewingdock/components/pacing/__init__.py
@@ -34,7 +34,7 @@
 )
 from lacewingdock.components.pacing.ring import Ring
 from lacewingdock.components.pacing.shares import Allowance, Shares, shares
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.recent import remember
 from lacewingdock.world.host import Bounds
 from lacewingdock.world.route import ServiceLimits
@@ -99,13 +99,13 @@
         # The latest turn, which may be yet to come, by instance start.
         self._sent_at: dict[str, float] = {}
 
-    def admits(self, instance: Instance, now: float) -> bool:
+    def admits(self, instance: UpstreamInstance, now: float) -> bool:
         """Whether a request may be sent to an instance now."""
-        if not instance.takes_any(now):
+        if not instance.accepts_requests(now):
             return False
-        return not instance.takes_few(now) or self.due_at(instance, now) <= now
+        return not instance.is_paced(now) or self.due_at(instance, now) <= now
 
-    def due_at(self, instance: Instance, now: float) -> float:
+    def due_at(self, instance: UpstreamInstance, now: float) -> float:
         """Return when this router may next send to an instance.
 
         Returns:
@@ -119,7 +119,7 @@
             due.append(self._back_at(instance, now))
         return max(due, default=now)
 
-    def others_turn_s(self, instance: Instance, now: float) -> float:
+    def others_turn_s(self, instance: UpstreamInstance, now: float) -> float:
         """Return within how long some router has a turn at an instance.
 
         Returns:
@@ -134,14 +134,14 @@
             default=math.inf,
         )
 
-    def sends(self, instance: Instance, at: float) -> None:
+    def sends(self, instance: UpstreamInstance, at: float) -> None:
         """Count a request that goes to an instance at a moment."""
-        if not instance.takes_few(at):
+        if not instance.is_paced(at):
             return
         start = instance.entry.incarnation
         remember(self._sent_at, start, at, MAX_REMEMBERED)
 
-    def _bounds_of(self, instance: Instance, now: float) -> list[Bound]:
+    def _bounds_of(self, instance: UpstreamInstance, now: float) -> list[Bound]:
         """Return the bounds on an instance; none where it takes any number."""
         found = []
         if instance.is_cold(now) and (cold := self._of_cold(instance)):
@@ -153,7 +153,7 @@
             found.append(Bound(named, instance.limit.since))
         return found
 
-    def _of_cold(self, instance: Instance) -> Allowance | None:
+    def _of_cold(self, instance: UpstreamInstance) -> Allowance | None:
         """Return what a cold instance bears; None where that is any number."""
         limits = self.limits(instance.entry.service)
         if limits is None or not limits.cold_per_s:
@@ -162,7 +162,9 @@
         most = per_s * bounds.cold_overage + bounds.cold_extra
         return Allowance(per_s, most, COLD_SPAN_S)
 
-    def _due_at(self, instance: Instance, bound: Bound, now: float) -> float:
+    def _due_at(
+        self, instance: UpstreamInstance, bound: Bound, now: float
+    ) -> float:
         """Return when this router may next send by one of the bounds."""
         if not self.known():
             return math.inf
@@ -175,7 +177,7 @@
         return max(first, self._last_sent_at(instance) + gap_s, now)
 
     def _first_due(
-        self, instance: Instance, since: float, gap_s: float
+        self, instance: UpstreamInstance, since: float, gap_s: float
     ) -> float:
         """Return when the first request may be sent to an instance.
 
@@ -185,7 +187,7 @@
         """
         return max(since, self.started) + self._phase(instance) * gap_s
 
-    def _back_at(self, instance: Instance, now: float) -> float:
+    def _back_at(self, instance: UpstreamInstance, now: float) -> float:
         """Return when this router may send to an instance after its rest.
 
         Routers that it turned away together come back one after the other,
@@ -195,10 +197,10 @@
         first = rest.until + self._phase(instance) * rest.return_s
         return max(first, self._last_sent_at(instance) + RETURN_GAP_S, now)
 
-    def _last_sent_at(self, instance: Instance) -> float:
+    def _last_sent_at(self, instance: UpstreamInstance) -> float:
         return self._sent_at.get(instance.entry.incarnation, -math.inf)
 
-    def _phase(self, instance: Instance) -> float:
+    def _phase(self, instance: UpstreamInstance) -> float:
         """Return this router's part of a span that routers divide, from 0."""
         digest = zlib.crc32(f"{self.name} {instance.mark}".encode())
         return digest / 2**32
@@ -207,7 +209,9 @@
         """Return how the requests to an instance are shared."""
         return shares(bound.allowance, len(self.names()) + 1)
 
-    def _is_near(self, instance: Instance, sharing: int, now: float) -> bool:
+    def _is_near(
+        self, instance: UpstreamInstance, sharing: int, now: float
+    ) -> bool:
         """Whether this router is among those that have a share."""
         if now >= self._ring_until:
             names = frozenset(self.names()) | {self.name}
--- a/lacewingdock/components/routes/__init__.py
+++ b/lacewingdock/components/routes/__init__.py
@@ -23,12 +23,12 @@
         known: Set once there is a table.
     """
 
-    __slots__ = ("known", "table")
+    __slots__ = ("loaded", "table")
 
     def __init__(self) -> None:
         """Start without a table."""
         self.table: RoutingTable | None = None
-        self.known = threading.Event()
+        self.loaded = threading.Event()
 
     def limits(self, service: str) -> ServiceLimits | None:
         """Return what a service's instances take; None if not known."""
@@ -45,7 +45,7 @@
         limits = self.limits(service)
         return (limits.health_path if limits else "") or "/"
 
-    def take(self, stored: StoredObject) -> None:
+    def apply(self, stored: StoredObject) -> None:
         """Take a configuration; one that was removed stays in force."""
         if stored.name != CONFIGURATION_NAME:
             return
@@ -58,15 +58,15 @@
                 error=str(error),
             )
             return
-        known = self.table
-        if known is not None and table.version <= known.version:
+        loaded = self.table
+        if loaded is not None and table.version <= loaded.version:
             return
         self.table = table
-        self.known.set()
+        self.loaded.set()
         log.info(
             "configuration in force",
             version=table.version,
-            before=known.version if known else None,
+            before=loaded.version if loaded else None,
             revision=shown(stored.revision),
             routes=len(table.routes),
             keys=len(table.callers) if table.callers is not None else None,
--- a/lacewingdock/components/suspects/__init__.py
+++ b/lacewingdock/components/suspects/__init__.py
@@ -32,7 +32,7 @@
 from lacewingdock.components.suspects.look import Found
 from lacewingdock.components.suspects.verdict import Fate, Look, fate_of
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.digest import digest
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.world.call import Call
@@ -119,7 +119,7 @@
         self,
         directory: Directory,
         publish: Callable[[Losses], bool],
-        reach: Callable[[Instance], Found],
+        reach: Callable[[UpstreamInstance], Found],
         source: random.Random,
     ) -> None:
         """Start without suspects."""
@@ -366,7 +366,7 @@
                     lost_s=round(time.monotonic() - lost_at, 3),
                 )
 
-    def _look(self, instance: Instance) -> Look:
+    def _look(self, instance: UpstreamInstance) -> Look:
         """Ask at an instance's address, and take what that shows of it."""
         asked_at = time.monotonic()
         found = self.reach(instance)
@@ -374,9 +374,9 @@
             case Look.ITSELF:
                 instance.answered(asked_at)
             case Look.ANOTHER:
-                self.directory.answered_by_other(instance, found.answered_by)
+                self.directory.mark_replaced(instance, found.answered_by)
             case Look.NOTHING:
-                instance.took_no_connection()
+                instance.record_connect_failure()
         self.counts[_MET[found.look]] += 1
         return found.look
 
@@ -442,8 +442,8 @@
         """Return the instances that crashed; tellers saw that theirs did."""
         told = {
             name
-            for name, heard_at in suspect.told.items()
-            if not self._shows_life(name, heard_at)
+            for name, last_received_at in suspect.told.items()
+            if not self._shows_life(name, last_received_at)
         }
         return told.union(self._crashed(suspect.own))
 
--- a/lacewingdock/components/suspects/verdict.py
+++ b/lacewingdock/components/suspects/verdict.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 
 from lacewingdock.components.suspects.const import LIFE_MARGIN_S
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 
 
 class Look(StrEnum):
@@ -44,7 +44,7 @@
     UNKNOWN = "unknown"
 
 
-def fate_of(instance: Instance | None, lost_at: float) -> Fate:
+def fate_of(instance: UpstreamInstance | None, lost_at: float) -> Fate:
     """Return what became of an instance.
 
     Args:
@@ -55,8 +55,8 @@
         return Fate.CRASHED
     if instance.answered_at >= lost_at:
         return Fate.PROVED
-    has_failed = instance.unreached_at >= lost_at
-    was_heard = instance.heard_at > lost_at + LIFE_MARGIN_S
-    if was_heard and instance.heard_at > instance.unreached_at:
+    has_failed = instance.connect_failed_at >= lost_at
+    was_heard = instance.last_received_at > lost_at + LIFE_MARGIN_S
+    if was_heard and instance.last_received_at > instance.connect_failed_at:
         return Fate.LIVES
     return Fate.CRASHED if has_failed else Fate.UNKNOWN
--- a/lacewingdock/components/upstreams/choice.py
+++ b/lacewingdock/components/upstreams/choice.py
@@ -15,9 +15,9 @@
 from lacewingdock.components.probes.prober import Prober
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import (
-    FAILURES_TO_PASS_OVER,
+    EJECTION_FAILURES,
     TRIAL_AFTER_S,
-    Instance,
+    UpstreamInstance,
 )
 
 # A failure counts like this many requests more on the instance, so that one
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Turn:
+class Reservation:
     """A moment at which an instance that takes few takes a request.
 
     Attributes:
@@ -42,7 +42,7 @@
         at: Monotonic time of it.
     """
 
-    instance: Instance
+    instance: UpstreamInstance
     at: float
 
 
@@ -85,11 +85,11 @@
     def choose(
         self,
         service: str,
-        allowed: Callable[[Instance], bool],
+        allowed: Callable[[UpstreamInstance], bool],
         unread: float,
         tried: Collection[str] = (),
         request: str = "",
-    ) -> Instance | None:
+    ) -> UpstreamInstance | None:
         """Return an instance and count the request in, or None.
 
         Args:
@@ -124,10 +124,10 @@
     def reserve(
         self,
         service: str,
-        allowed: Callable[[Instance], bool],
+        allowed: Callable[[UpstreamInstance], bool],
         unread: float,
         by: float,
-    ) -> Turn | None:
+    ) -> Reservation | None:
         """Return the next turn at an instance and count the request in.
 
         Asked for where `choose` finds nothing else.
@@ -156,21 +156,21 @@
         now = self.directory.clock.now()
         return found is not None and bool(self._admitted([found], now))
 
-    def takes_few(self, service: str) -> bool:
+    def is_paced(self, service: str) -> bool:
         """Whether a service has open instances, and all of them take few."""
         now = self.directory.clock.now()
         is_open = False
         for one in self.directory.of_service(service):
             if one.open:
                 is_open = True
-                if not one.takes_few(now):
+                if not one.is_paced(now):
                     return False
         return is_open
 
-    def next_turn_s(
+    def next_send_s(
         self,
         service: str,
-        allowed: Callable[[Instance], bool] = lambda _: True,
+        allowed: Callable[[UpstreamInstance], bool] = lambda _: True,
     ) -> float | None:
         """Return in how many seconds an instance that takes few takes one.
 
@@ -188,55 +188,64 @@
         after_s = min(self._after_s(self.pacer, one, now) for one in paced)
         return None if after_s == math.inf else after_s
 
-    def has_other(self, service: str, tried: Collection[str]) -> bool:
+    def has_untried_instance(
+        self, service: str, tried: Collection[str]
+    ) -> bool:
         """Whether another instance than those tried takes a request now."""
         now = self.directory.clock.now()
         return any(
-            one.takes_any(now) and one.entry.incarnation not in tried
+            one.accepts_requests(now) and one.entry.incarnation not in tried
             for one in self.directory.of_service(service)
         )
 
-    def replaced(self, instance: Instance, answered_by: str) -> None:
+    def replaced(self, instance: UpstreamInstance, answered_by: str) -> None:
         """Take out an instance at whose address another one answered."""
-        self.directory.answered_by_other(instance, answered_by)
+        self.directory.mark_replaced(instance, answered_by)
         self.changed.set()
 
-    def began(self, instance: Instance, unread: float) -> None:
+    def began(self, instance: UpstreamInstance, unread: float) -> None:
         """Count a request's prompt as read: its answer began, or it ended."""
         with self.directory.lock:
             instance.unread -= unread
         self.changed.set()
 
-    def done(self, instance: Instance) -> None:
+    def done(self, instance: UpstreamInstance) -> None:
         """Count a request out."""
         with self.directory.lock:
             instance.running -= 1
         self.changed.set()
 
     def _open(
-        self, service: str, allowed: Callable[[Instance], bool]
-    ) -> list[Instance]:
+        self, service: str, allowed: Callable[[UpstreamInstance], bool]
+    ) -> list[UpstreamInstance]:
         return [
             one
             for one in self.directory.of_service(service)
             if one.open and allowed(one)
         ]
 
-    def _admitted(self, found: list[Instance], now: float) -> list[Instance]:
+    def _admitted(
+        self, found: list[UpstreamInstance], now: float
+    ) -> list[UpstreamInstance]:
         """Leave out instances at which it is not this router's turn."""
         pacer = self.pacer
         if pacer is None:
-            return [one for one in found if one.takes_any(now)]
+            return [one for one in found if one.accepts_requests(now)]
         return [one for one in found if pacer.admits(one, now)]
 
     def _paced(
-        self, service: str, allowed: Callable[[Instance], bool], now: float
-    ) -> list[Instance]:
+        self,
+        service: str,
+        allowed: Callable[[UpstreamInstance], bool],
+        now: float,
+    ) -> list[UpstreamInstance]:
         """Return the open instances that take few."""
         found = self._open(service, allowed)
-        return [one for one in found if one.takes_few(now)]
+        return [one for one in found if one.is_paced(now)]
 
-    def _after_s(self, pacer: Pacer, one: Instance, now: float) -> float:
+    def _after_s(
+        self, pacer: Pacer, one: UpstreamInstance, now: float
+    ) -> float:
         """Return in how many seconds a request may go to an instance."""
         after_s = min(
             pacer.due_at(one, now) - now, pacer.others_turn_s(one, now)
@@ -245,7 +254,9 @@
             after_s = min(after_s, one.cold_until - now)
         return max(after_s, one.rest.until - now)
 
-    def _next_turn(self, paced: list[Instance], now: float) -> Turn | None:
+    def _next_turn(
+        self, paced: list[UpstreamInstance], now: float
+    ) -> Reservation | None:
         """Return this router's next turn at one of some instances, if any."""
         pacer = self.pacer
         if pacer is None:
@@ -254,36 +265,46 @@
             (pacer.due_at(one, now), self.random.random(), one) for one in paced
         )
         at, _, chosen = min(turns, default=(math.inf, 0.0, None))
-        return None if chosen is None or at == math.inf else Turn(chosen, at)
+        return (
+            None
+            if chosen is None or at == math.inf
+            else Reservation(chosen, at)
+        )
 
-    def _count_in(self, chosen: Instance, unread: float, at: float) -> None:
+    def _count_in(
+        self, chosen: UpstreamInstance, unread: float, at: float
+    ) -> None:
         """Count a request in that goes to an instance at a moment."""
         chosen.running += 1
         chosen.unread += unread
-        if chosen.recent_failures(at) >= FAILURES_TO_PASS_OVER:
+        if chosen.recent_failures(at) >= EJECTION_FAILURES:
             chosen.trial_at = at + TRIAL_AFTER_S
         if self.pacer is not None:
             self.pacer.sends(chosen, at)
 
-    def _fit(self, found: list[Instance], now: float) -> list[Instance]:
+    def _fit(
+        self, found: list[UpstreamInstance], now: float
+    ) -> list[UpstreamInstance]:
         """Leave out those that failed lately, unless all did."""
         fit = [
             one
             for one in found
-            if one.recent_failures(now) < FAILURES_TO_PASS_OVER
+            if one.recent_failures(now) < EJECTION_FAILURES
             or (one.trial_at <= now and not one.running)
         ]
         return fit or found
 
-    def _least(self, found: Sequence[Instance], now: float) -> Instance:
+    def _least(
+        self, found: Sequence[UpstreamInstance], now: float
+    ) -> UpstreamInstance:
         return min(
             found,
             key=lambda one: (self._load(one, now), self.random.random()),
         )
 
     def _asked(
-        self, fit: Sequence[Instance], unread: float, now: float
-    ) -> list[Instance]:
+        self, fit: Sequence[UpstreamInstance], unread: float, now: float
+    ) -> list[UpstreamInstance]:
         """Return the instances that are asked for their load.
 
         They are drawn from the better half by what is known here, so that
@@ -297,7 +318,9 @@
         better = known[: max(len(known) // 2, ASKED)]
         return self.random.sample(better, min(ASKED, len(better)))
 
-    def _ask(self, asked: Sequence[Instance]) -> dict[Instance, Load]:
+    def _ask(
+        self, asked: Sequence[UpstreamInstance]
+    ) -> dict[UpstreamInstance, Load]:
         """Return what instances say of their load, of those that answer."""
         if self.prober is None or not asked:
             return {}
@@ -310,10 +333,10 @@
 
     def _of_asked(
         self,
-        asked: Sequence[Instance],
-        loads: Mapping[Instance, Load],
+        asked: Sequence[UpstreamInstance],
+        loads: Mapping[UpstreamInstance, Load],
         now: float,
-    ) -> Instance | None:
+    ) -> UpstreamInstance | None:
         """Return the best of the asked; None where none knows its load.
 
         Those that are silent get their share by what is known here. Without
@@ -329,7 +352,10 @@
         return min(told, key=lambda one: self._told(one, loads, now))
 
     def _told(
-        self, one: Instance, told: Mapping[Instance, Load], now: float
+        self,
+        one: UpstreamInstance,
+        told: Mapping[UpstreamInstance, Load],
+        now: float,
     ) -> tuple[float, float]:
         """Return what an instance has to do by its own word, and a draw.
 
@@ -340,14 +366,14 @@
         load += FULL_WEIGHT * max(running + 1 - one.entry.slots, 0)
         return load + self._against(one, now), self.random.random()
 
-    def _load(self, one: Instance, now: float) -> float:
+    def _load(self, one: UpstreamInstance, now: float) -> float:
         """Return what runs on an instance, and what speaks against it."""
         others = self.others(one.mark)
         load: float = one.running + others.running
         load += UNREAD_WEIGHT * (one.unread + others.unread)
         return load + self._against(one, now)
 
-    def _against(self, one: Instance, now: float) -> float:
+    def _against(self, one: UpstreamInstance, now: float) -> float:
         """Return what speaks against an instance beside its load."""
         against = FAILURE_WEIGHT * one.recent_failures(now)
         if one.entry.failure_domain != self.failure_domain:
@@ -357,6 +383,8 @@
         return against
 
 
-def _untried(found: list[Instance], tried: Collection[str]) -> list[Instance]:
+def _untried(
+    found: list[UpstreamInstance], tried: Collection[str]
+) -> list[UpstreamInstance]:
     """Return the instances that a request was not at, or all of them."""
     return [one for one in found if one.entry.incarnation not in tried] or found
--- a/lacewingdock/components/upstreams/connection.py
+++ b/lacewingdock/components/upstreams/connection.py
@@ -53,7 +53,7 @@
         "_request",
         "_watched",
         "ended",
-        "heard_at",
+        "last_received_at",
         "idle_since",
         "keep_s",
         "parser",
@@ -65,7 +65,7 @@
         self.sock = sock
         self.keep_s = keep_s
         self.idle_since = time.monotonic()
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self.ended = False
         self.parser = _new_parser()
         self._poll = select.poll()
@@ -74,7 +74,7 @@
         self._request: h11.Request | None = None
         self._call = ""
 
-    def fit(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether a request may be sent: open, clean and not too old.
 
         Bytes or an end that wait unread belong to no request that is still
@@ -157,7 +157,7 @@
             return None
         raise UpstreamLost(f"unexpected {type(event).__name__}")
 
-    def read_whole(self, until: float, most: int) -> bytes:
+    def read_full_body(self, until: float, most: int) -> bytes:
         """Read the rest of the body.
 
         Raises:
@@ -235,7 +235,7 @@
             self.ended = True
             raise UpstreamLost(f"receive: {error!r}") from error
         if data:
-            self.heard_at = time.monotonic()
+            self.last_received_at = time.monotonic()
         else:
             self.ended = True
         try:
--- a/lacewingdock/components/upstreams/directory.py
+++ b/lacewingdock/components/upstreams/directory.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Final
 
-from lacewingdock.components.upstreams.instance import Instance, mark_of
+from lacewingdock.components.upstreams.instance import UpstreamInstance, mark_of
 from lacewingdock.components.upstreams.signals import SignalMemory
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
@@ -72,7 +72,7 @@
     def __init__(self, clock: Clock = STEADY) -> None:
         """Start empty."""
         self.clock = clock
-        self.instances: dict[str, Instance] = {}
+        self.instances: dict[str, UpstreamInstance] = {}
         self.births: dict[str, int] = {}
         self.cordoned: frozenset[str] = frozenset()
         self.cold_start_s: Callable[[str], float] = lambda _: 0.0
@@ -87,18 +87,18 @@
         # Held while the list changes: tasks of several mirrors and of requests
         # change it, and an instance must not miss a cordon.
         self._changing = threading.RLock()
-        self._by_service: dict[str, list[Instance]] = {}
-        self._by_mark: dict[int, Instance] = {}
+        self._by_service: dict[str, list[UpstreamInstance]] = {}
+        self._by_mark: dict[int, UpstreamInstance] = {}
 
-    def of_service(self, service: str) -> list[Instance]:
+    def of_service(self, service: str) -> list[UpstreamInstance]:
         """Return the instances of a service, leaving ones too."""
         return self._by_service.get(service, [])
 
-    def by_mark(self, mark: int) -> Instance | None:
+    def by_mark(self, mark: int) -> UpstreamInstance | None:
         """Return the instance whose start has a digest, if any."""
         return self._by_mark.get(mark)
 
-    def heard_by_other(self, mark: int, at: float) -> None:
+    def received_by_peer(self, mark: int, at: float) -> None:
         """Note when another router heard an instance.
 
         Args:
@@ -107,9 +107,9 @@
         """
         found = self.by_mark(mark)
         if found is not None:
-            found.others_heard_at = max(found.others_heard_at, at)
+            found.peers_received_at = max(found.peers_received_at, at)
 
-    def incarnation(self, name: str) -> Instance | None:
+    def incarnation(self, name: str) -> UpstreamInstance | None:
         """Return the instance whose present start has a name, if any."""
         found = self.instances.get(name.partition("@")[0])
         if found is None or found.entry.incarnation != name:
@@ -144,12 +144,12 @@
                 entry need not mean that the instance is gone.
         """
         for entry in entries.values():
-            self.take(entry)
+            self.apply(entry)
         known = self.instances.keys() | self.held.keys()
         for name in known - entries.keys():
             self.remove(name, doubtful=doubtful)
 
-    def take(self, entry: UpstreamEntry) -> None:
+    def apply(self, entry: UpstreamEntry) -> None:
         """Take a new or changed entry in.
 
         An instance that started again under its id is another one: requests
@@ -180,7 +180,9 @@
             if known is not None:
                 known.gone = True
             signals = self.signals.of(entry.incarnation)
-            self.instances[entry.id] = Instance(entry, self.clock, signals)
+            self.instances[entry.id] = UpstreamInstance(
+                entry, self.clock, signals
+            )
             self._index()
         elif _is_same(known.entry, entry) and not known.lapsed:
             return
@@ -189,7 +191,7 @@
             known.entry = replace(entry, created=known.entry.created)
             known.lapsed = False
             self._index()
-        self.instances[entry.id].is_cold_for(entry.cold_left_s)
+        self.instances[entry.id].set_cold_for(entry.cold_left_s)
         log.info(
             "upstream",
             upstream=entry.id,
@@ -208,7 +210,7 @@
             self._remove(name, doubtful=doubtful)
 
     def _is_outdated(
-        self, entry: UpstreamEntry, known: Instance | None
+        self, entry: UpstreamEntry, known: UpstreamInstance | None
     ) -> bool:
         """Whether an entry is one of the store's copy, and older than known."""
         if self.clock.now() >= self.held_until:
@@ -219,14 +221,16 @@
             return True
         return entry.sequence < known.entry.sequence
 
-    def _hold(self, entry: UpstreamEntry, known: Instance | None) -> None:
+    def _hold(
+        self, entry: UpstreamEntry, known: UpstreamInstance | None
+    ) -> None:
         if known is not None:
             known.lapsed = False
         if self.held.get(entry.id) != entry:
             log.info("older entry held", upstream=entry.id)
         self.held[entry.id] = entry
 
-    def restored(self, hold_s: float) -> None:
+    def hold_older_entries(self, hold_s: float) -> None:
         """Reckon with entries of a store that is back from a copy.
 
         An instance that left since is listed there as it was: it would get
@@ -239,7 +243,7 @@
         with self._changing:
             self.held_until = self.clock.now() + hold_s
 
-    def take_held(self) -> None:
+    def apply_held(self) -> None:
         """Take the entries that were held back and are still there."""
         with self._changing:
             if not self.held or self.clock.now() < self.held_until:
@@ -278,14 +282,16 @@
             for instance in list(self.instances.values()):
                 # It may have become cold while nothing went there.
                 if instance.entry.failure_domain in reopened:
-                    self.may_be_cold(instance)
+                    self.assume_cold(instance)
             self._index()
 
-    def may_be_cold(self, instance: Instance) -> None:
+    def assume_cold(self, instance: UpstreamInstance) -> None:
         """Reckon with an instance's being cold, as after a start."""
-        instance.may_be_cold(self.cold_start_s(instance.entry.service))
+        instance.assume_cold(self.cold_start_s(instance.entry.service))
 
-    def answered_by_other(self, instance: Instance, answered_by: str) -> None:
+    def mark_replaced(
+        self, instance: UpstreamInstance, answered_by: str
+    ) -> None:
         """Take out a start at whose address another instance answered.
 
         Engines that lost power start again at their addresses under new ids,
@@ -304,7 +310,9 @@
                 answered_by=answered_by,
             )
 
-    def replaced_by_other(self, marks: Iterable[int], router: str) -> None:
+    def apply_peer_replacements(
+        self, marks: Iterable[int], router: str
+    ) -> None:
         """Take out starts that another router found to be replaced."""
         for mark in marks:
             found = self.by_mark(mark)
@@ -314,7 +322,7 @@
                     "upstream replaced", upstream=found.entry.id, told_by=router
                 )
 
-    def replaced_lately(self) -> list[int]:
+    def recently_replaced(self) -> list[int]:
         """Return the marks of starts that were found to be replaced."""
         since = self.clock.now() - TELL_REPLACED_S
         found = []
@@ -326,7 +334,7 @@
                 found.append(mark_of(start))
         return found
 
-    def _replace(self, instance: Instance) -> bool:
+    def _replace(self, instance: UpstreamInstance) -> bool:
         """Take a start out for good; return whether it was there."""
         entry = instance.entry
         key = (entry.incarnation, entry.address)
@@ -347,7 +355,7 @@
         remember(self.births, entry.id, entry.born, most)
 
     def _index(self) -> None:
-        index: dict[str, list[Instance]] = {}
+        index: dict[str, list[UpstreamInstance]] = {}
         # By service too: an entry that no instance wrote may name any address.
         latest: dict[tuple[str, str, int], UpstreamEntry] = {}
         instances = list(self.instances.values())
--- a/lacewingdock/components/upstreams/instance.py
+++ b/lacewingdock/components/upstreams/instance.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Final
 
-from lacewingdock.components.upstreams.limits import Limit
+from lacewingdock.components.upstreams.limits import RateLimit
 from lacewingdock.components.upstreams.rest import Rest
 from lacewingdock.components.upstreams.signals import Signals
 from lacewingdock.helpers.clock import STEADY, Clock
@@ -15,7 +15,7 @@
 # after some seconds, and its first good answers shall weigh more than that.
 FAILURE_HALF_LIFE_S: Final = 2.0
 # Recent failures from which an instance gets no request while others can.
-FAILURES_TO_PASS_OVER: Final = 1.5
+EJECTION_FAILURES: Final = 1.5
 # An instance passed over is tried again with one request after this, since
 # only a request shows that it is back: health checks cost as much and say
 # less.
@@ -55,7 +55,7 @@
     return zlib.crc32(incarnation.encode())
 
 
-class Instance:
+class UpstreamInstance:
     """An upstream instance and what this router saw of it.
 
     Attributes:
@@ -91,15 +91,15 @@
         "failed_at",
         "failures",
         "gone",
-        "heard_at",
+        "last_received_at",
         "lapsed",
         "mark",
-        "others_heard_at",
+        "peers_received_at",
         "running",
         "signals",
         "superseded",
         "trial_at",
-        "unreached_at",
+        "connect_failed_at",
         "unread",
     )
 
@@ -118,10 +118,10 @@
         self.failures = 0.0
         self.failed_at = self.clock.now()
         self.trial_at = 0.0
-        self.heard_at = 0.0
-        self.others_heard_at = 0.0
+        self.last_received_at = 0.0
+        self.peers_received_at = 0.0
         self.answered_at = -math.inf
-        self.unreached_at = 0.0
+        self.connect_failed_at = 0.0
         self.cold_from = 0.0
         self.cold_until = 0.0
         self.signals = signals or Signals()
@@ -146,7 +146,7 @@
         return self.entry.leaving or self.signals.leaving
 
     @property
-    def limit(self) -> Limit:
+    def limit(self) -> RateLimit:
         """What is believed of the limit that it names."""
         return self.signals.limit
 
@@ -163,7 +163,7 @@
         what it heard itself it would take requests that wait in an instance's
         queue for lost, and have their prompts read once more elsewhere.
         """
-        return max(self.heard_at, self.others_heard_at)
+        return max(self.last_received_at, self.peers_received_at)
 
     def state(self, now: float) -> InstanceState:
         """Return what speaks against it, the gravest only."""
@@ -179,7 +179,7 @@
             return InstanceState.LAPSED
         if now < self.rest.until:
             return InstanceState.RESTING
-        if self.recent_failures(now) >= FAILURES_TO_PASS_OVER:
+        if self.recent_failures(now) >= EJECTION_FAILURES:
             return InstanceState.PASSED_OVER
         if self.is_cold(now):
             return InstanceState.COLD
@@ -187,7 +187,7 @@
             return InstanceState.LIMITED
         return InstanceState.SOUND
 
-    def takes_any(self, now: float) -> bool:
+    def accepts_requests(self, now: float) -> bool:
         """Whether a request may be sent to it now, in its turn."""
         return self.open and now >= self.rest.until
 
@@ -199,7 +199,7 @@
         """Whether it names a limit."""
         return now < self.limit.until
 
-    def takes_few(self, now: float) -> bool:
+    def is_paced(self, now: float) -> bool:
         """Whether requests to it need a turn.
 
         It is cold, or may be, names a limit, rests, or has rested lately.
@@ -210,12 +210,12 @@
             or now < self.rest.careful_until
         )
 
-    def may_be_cold(self, for_s: float) -> None:
+    def assume_cold(self, for_s: float) -> None:
         """Reckon with its being cold from now on."""
         left_s = self.cold_until - self.clock.now()
-        self.is_cold_for(max(left_s, for_s))
+        self.set_cold_for(max(left_s, for_s))
 
-    def is_cold_for(self, left_s: float) -> None:
+    def set_cold_for(self, left_s: float) -> None:
         """Take for how many seconds it stays cold; 0 or less if it is warm."""
         if left_s <= 0.0:
             self.cold_until = 0.0
@@ -241,9 +241,9 @@
         """Note that it answered what was sent at a monotonic time."""
         self.answered_at = max(self.answered_at, sent_at)
 
-    def took_no_connection(self) -> None:
+    def record_connect_failure(self) -> None:
         """Count a connection that it did not take."""
-        self.unreached_at = self.clock.now()
+        self.connect_failed_at = self.clock.now()
         self.failed(1.0)
 
     def succeeded(self) -> None:
--- a/lacewingdock/components/upstreams/limits.py
+++ b/lacewingdock/components/upstreams/limits.py
@@ -7,11 +7,11 @@
 # What another router told counts for this long after it heard it itself: those
 # that share the instance meet its limit again within a few seconds, unless it
 # takes next to nothing.
-TOLD_S: Final = 15.0
+PEER_LIMIT_S: Final = 15.0
 
 
 @dataclass(slots=True)
-class Limit:
+class RateLimit:
     """What this router believes of one instance's limit.
 
     A limit ends with an answer to a request that was sent after the limit was
@@ -35,8 +35,8 @@
     own_per_s: float | None = None
     named_at: float = -math.inf
     ended_at: float = -math.inf
-    told_per_s: float | None = None
-    told_at: float = -math.inf
+    peer_per_s: float | None = None
+    peer_observed_at: float = -math.inf
     since: float = 0.0
     until: float = -math.inf
     logged: float | None = None
@@ -50,7 +50,7 @@
         if now >= self.until:
             return None
         # Read once: an answer may end it at any moment.
-        own, told = self.own_per_s, self.told_per_s
+        own, told = self.own_per_s, self.peer_per_s
         if told is None or not self._holds_told(now):
             return own
         return told if own is None else min(own, told)
@@ -73,10 +73,10 @@
 
     def told(self, per_s: float, heard_at: float, now: float) -> bool:
         """Take what another router heard; return whether that is news."""
-        if heard_at <= max(self.told_at, self.ended_at):
+        if heard_at <= max(self.peer_observed_at, self.ended_at):
             return False
         self._begin(now)
-        self.told_per_s, self.told_at = per_s, heard_at
+        self.peer_per_s, self.peer_observed_at = per_s, heard_at
         self.settle()
         return True
 
@@ -84,8 +84,8 @@
         """Reckon anew up to when there is a limit."""
         if self.own_per_s is not None:
             self.until = math.inf
-        elif self.told_at > self.ended_at:
-            self.until = self.told_at + TOLD_S
+        elif self.peer_observed_at > self.ended_at:
+            self.until = self.peer_observed_at + PEER_LIMIT_S
         else:
             self.until = -math.inf
 
@@ -97,4 +97,7 @@
     def _holds_told(self, now: float) -> bool:
         """Whether what another router told is news, and not too old."""
         last = max(self.named_at, self.ended_at)
-        return last < self.told_at and now < self.told_at + TOLD_S
+        return (
+            last < self.peer_observed_at
+            and now < self.peer_observed_at + PEER_LIMIT_S
+        )
--- a/lacewingdock/components/upstreams/pool.py
+++ b/lacewingdock/components/upstreams/pool.py
@@ -12,9 +12,9 @@
 
 # An upstream says in whole seconds how long it keeps an idle connection. The
 # margin covers the way of a request that meets the close.
-KEEP_MARGIN_S: Final = 0.5
+KEEP_ALIVE_MARGIN_S: Final = 0.5
 # Where an upstream does not say; most servers keep idle ones 5 s and longer.
-KEEP_S: Final = 3.0
+DEFAULT_KEEP_ALIVE_S: Final = 3.0
 # A round trip is some milliseconds and a handshake one more; a lost packet is
 # sent again after 0.2 s and, the first of a connection, after 1 s.
 CONNECT_S: Final = 0.4
@@ -37,7 +37,7 @@
         self.idle: dict[str, list[UpstreamConnection]] = {}
         self._lock = threading.Lock()
 
-    def take(
+    def acquire(
         self, entry: UpstreamEntry, timeout_s: float
     ) -> UpstreamConnection:
         """Return a connection fit for a request, a kept one where there is.
@@ -46,13 +46,13 @@
             UpstreamLost: None could be opened; nothing ran.
         """
         while (kept := self._pop(entry.incarnation)) is not None:
-            if kept.fit():
+            if kept.is_reusable():
                 return kept
             kept.close()
         sock = connect(entry.host, entry.port, min(CONNECT_S, timeout_s))
-        return UpstreamConnection(sock, KEEP_S)
+        return UpstreamConnection(sock, DEFAULT_KEEP_ALIVE_S)
 
-    def give_back(
+    def release(
         self,
         entry: UpstreamEntry,
         connection: UpstreamConnection,
@@ -70,7 +70,11 @@
         if closes or not connection.rest():
             connection.close()
             return
-        connection.keep_s = KEEP_S if keep_s is None else keep_s - KEEP_MARGIN_S
+        connection.keep_s = (
+            DEFAULT_KEEP_ALIVE_S
+            if keep_s is None
+            else keep_s - KEEP_ALIVE_MARGIN_S
+        )
         with self._lock:
             kept = self.idle.setdefault(entry.incarnation, [])
             if len(kept) < MAX_IDLE:
--- a/lacewingdock/components/upstreams/signals.py
+++ b/lacewingdock/components/upstreams/signals.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from lacewingdock.components.upstreams.limits import Limit
+from lacewingdock.components.upstreams.limits import RateLimit
 from lacewingdock.components.upstreams.rest import Rest
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
@@ -47,7 +47,7 @@
         rest: The rest that it asked for.
     """
 
-    limit: Limit = field(default_factory=Limit)
+    limit: RateLimit = field(default_factory=RateLimit)
     leaving_since: float | None = None
     rest: Rest = field(default_factory=Rest)
 
@@ -71,7 +71,7 @@
     __slots__ = (
         "_lock",
         "clock",
-        "known",
+        "by_incarnation",
         "leavings_said",
         "limits_named",
         "rests_asked",
@@ -80,7 +80,7 @@
     def __init__(self, clock: Clock = STEADY) -> None:
         """Start without any."""
         self.clock = clock
-        self.known: dict[str, Signals] = {}
+        self.by_incarnation: dict[str, Signals] = {}
         self.leavings_said = 0
         self.limits_named = 0
         self.rests_asked = 0
@@ -89,8 +89,8 @@
     def of(self, incarnation: str) -> Signals:
         """Return what an instance's start said."""
         with self._lock:
-            found = self.known.get(incarnation) or Signals()
-            remember(self.known, incarnation, found, MAX_REMEMBERED)
+            found = self.by_incarnation.get(incarnation) or Signals()
+            remember(self.by_incarnation, incarnation, found, MAX_REMEMBERED)
         return found
 
     def answered(
@@ -135,10 +135,10 @@
             )
         return limit.own_per_s not in (before, None)
 
-    def told_limit(
+    def apply_peer_limit(
         self,
         entry: UpstreamEntry,
-        limit: Limit,
+        limit: RateLimit,
         per_s: float,
         heard_at: float,
         router: str,
@@ -161,7 +161,7 @@
         _log_limit(entry, limit, now, router)
 
     def _take_limit(
-        self, limit: Limit, head: AnswerHead, sent_at: float, now: float
+        self, limit: RateLimit, head: AnswerHead, sent_at: float, now: float
     ) -> None:
         if head.limit_per_s is not None:
             self.limits_named += limit.at(now) is None
@@ -194,7 +194,7 @@
 
 
 def _log_limit(
-    entry: UpstreamEntry, limit: Limit, now: float, source: str
+    entry: UpstreamEntry, limit: RateLimit, now: float, source: str
 ) -> None:
     """Log a limit that began, ended or moved.
 
--- a/lacewingdock/components/upstreams/sync.py
+++ b/lacewingdock/components/upstreams/sync.py
@@ -47,7 +47,7 @@
             self.faulty.discard(name)
             self.directory.remove(name, doubtful=doubtful)
         elif entry := self._read(change.object):
-            self.directory.take(entry)
+            self.directory.apply(entry)
         else:
             self.directory.remove(name, doubtful=False)
 
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -34,7 +34,7 @@
 from lacewingdock.components.suspects.look import Found, look_at
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.components.upstreams.sync import InstanceListener
 from lacewingdock.const import THREAD_STACK_BYTES
 from lacewingdock.daemons.router_announce import Announcer
@@ -377,7 +377,7 @@
             ),
         )
 
-    def _look_at(self, instance: Instance) -> Found:
+    def _look_at(self, instance: UpstreamInstance) -> Found:
         """Ask at an instance's address, naming it, whether it lives."""
         path = self.routes.health_path(instance.entry.service)
         return look_at(instance.entry, path)
@@ -402,7 +402,7 @@
         self.gateway.share_retries(self._retry_terms())
 
     def _drop_lapsed(self) -> None:
-        self.directory.take_held()
+        self.directory.apply_held()
         if not self.health.doubtful:
             self.directory.drop_lapsed()
             self.cordons.settle()
--- a/lacewingdock/daemons/router_ports.py
+++ b/lacewingdock/daemons/router_ports.py
@@ -57,7 +57,7 @@
             rows_of(directory),
             shifts.sessions_to_keep(),
             shifts.found_bad(),
-            directory.replaced_lately()[:MAX_REPLACED],
+            directory.recently_replaced()[:MAX_REPLACED],
             limits_of(directory),
         )
 
@@ -75,7 +75,7 @@
             shifts.hear_message,
             lambda message: hear_life(directory, message),
             lambda message: hear_limits(directory, message),
-            lambda message: directory.replaced_by_other(
+            lambda message: directory.apply_peer_replacements(
                 message.replaced, message.router
             ),
         ],
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -34,9 +34,9 @@
 from lacewingdock.components.pacing.const import WAIT_PART
 from lacewingdock.components.probes.prober import Prober
 from lacewingdock.components.shifts import VersionRule
-from lacewingdock.components.upstreams.choice import Chooser, Turn
+from lacewingdock.components.upstreams.choice import Chooser, Reservation
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.components.upstreams.pool import CONNECT_S
 from lacewingdock.lab.deployment import (
     Bounds,
@@ -235,7 +235,7 @@
 
     def _placed(
         self, request: Request, cascade: Cascade, progress: _Progress
-    ) -> Generator[simpy.Event, Any, Instance | None]:
+    ) -> Generator[simpy.Event, Any, UpstreamInstance | None]:
         """Return the engine of the next attempt; None where there is none."""
         env, traffic = self.world.env, request.traffic
         unread = self._unread(request, cascade)
@@ -254,15 +254,17 @@
                     spread = self.draw.uniform(1.0, SPREAD_AFTER)
                     progress.answer.after_s = after_s * spread
                 return None
-            if isinstance(found, Instance):
+            if isinstance(found, UpstreamInstance):
                 return found
             yield env.timeout(max(found.at - env.now, 0.0))
-            if found.instance.takes_any(env.now):
+            if found.instance.accepts_requests(env.now):
                 return found.instance
             self.chooser.began(found.instance, unread)
             self.chooser.done(found.instance)
 
-    def _found(self, seeker: Seeker) -> Instance | Turn | NoPlace:
+    def _found(
+        self, seeker: Seeker
+    ) -> UpstreamInstance | Reservation | NoPlace:
         if self.world.policy.choice is not Choice.RANDOM:
             return find_place(self.chooser, seeker)
         found = [one for one in self.directory.of_service(SERVICE) if one.open]
@@ -282,7 +284,7 @@
         request: Request,
         cascade: Cascade,
         progress: _Progress,
-        instance: Instance,
+        instance: UpstreamInstance,
     ) -> Generator[simpy.Event, Any, End]:
         """Make one attempt, and take what it shows."""
         unread = self._unread(request, cascade)
@@ -297,8 +299,8 @@
             if engine is None:
                 yield self.world.env.timeout(CONNECT_S)
                 progress.unreached += 1
-                instance.took_no_connection()
-                self.directory.may_be_cold(instance)
+                instance.record_connect_failure()
+                self.directory.assume_cold(instance)
                 return End.UNREACHED
             if engine.name != instance.entry.id:
                 return self._turned_away(instance, engine, progress)
@@ -311,7 +313,7 @@
             self.chooser.done(instance)
 
     def _turned_away(
-        self, instance: Instance, engine: Engine, progress: _Progress
+        self, instance: UpstreamInstance, engine: Engine, progress: _Progress
     ) -> End:
         """Take that another engine lives at the address."""
         self.world.turned_away += 1
@@ -327,7 +329,7 @@
         request: Request,
         cascade: Cascade,
         progress: _Progress,
-        instance: Instance,
+        instance: UpstreamInstance,
         engine: Engine,
     ) -> Generator[simpy.Event, Any, End]:
         """Have an engine run a request."""
@@ -386,7 +388,7 @@
 
     def _answered(
         self,
-        instance: Instance,
+        instance: UpstreamInstance,
         engine: Engine,
         head: AnswerHead,
         sent_at: float,
@@ -403,7 +405,7 @@
         self,
         request: Request,
         progress: _Progress,
-        instance: Instance,
+        instance: UpstreamInstance,
         engine: Engine,
         run: Run,
     ) -> Generator[simpy.Event, Any, End]:
@@ -434,7 +436,7 @@
         return cascade.accepts(head, len(progress.tried))
 
     def _broken(
-        self, cascade: Cascade, instance: Instance, *, timed_out: bool
+        self, cascade: Cascade, instance: UpstreamInstance, *, timed_out: bool
     ) -> None:
         result: Result = Broken("lost", timed_out=timed_out)
         cascade.feel(result, 0.0)
--- a/lacewingdock/lab/simulation.py
+++ b/lacewingdock/lab/simulation.py
@@ -165,7 +165,7 @@
         )
         self.entries[name] = entry
         for router in self.routers.values():
-            router.directory.take(entry)
+            router.directory.apply(entry)
 
     def _lose_engine(self, host: str) -> None:
         engine = self.engines[host]
@@ -189,7 +189,7 @@
             self, name, domain, lambda: list(self.routers), self.seed
         )
         for entry in self.entries.values():
-            router.directory.take(entry)
+            router.directory.apply(entry)
         router.directory.cordon(frozenset(self._cordoned))
         router.chooser.others = lambda mark: self._others(name, mark)
         self.routers[name] = router
--- a/tests/components/cordons/test_cordons.py
+++ b/tests/components/cordons/test_cordons.py
@@ -23,7 +23,7 @@
     """Return a directory of instances in three failure domains."""
     found = Directory()
     for name in sorted(EVERYTHING):
-        found.take(entry(name))
+        found.apply(entry(name))
     return found
 
 
@@ -92,13 +92,13 @@
     [
         # It starts there, starts again, moves there, is renewed, comes back
         # after an outage.
-        lambda found: found.take(entry("a-9")),
-        lambda found: found.take(entry("a-1", born=9)),
-        lambda found: found.take(entry("b-1", failure_domain="a")),
-        lambda found: found.take(entry("a-1", slots=9)),
+        lambda found: found.apply(entry("a-9")),
+        lambda found: found.apply(entry("a-1", born=9)),
+        lambda found: found.apply(entry("b-1", failure_domain="a")),
+        lambda found: found.apply(entry("a-1", slots=9)),
         lambda found: [
             found.remove("a-1", doubtful=True),
-            found.take(entry("a-1")),
+            found.apply(entry("a-1")),
         ],
     ],
 )
@@ -133,7 +133,7 @@
     for _ in range(30):
         chosen = chooser.choose("svc", lambda _: True, 1.0, tried)
         assert chosen.entry.failure_domain != "a"
-    assert not chooser.has_other("svc", ["b-1", "c-1"])
+    assert not chooser.has_untried_instance("svc", ["b-1", "c-1"])
 
 
 def test_trials_of_failed_instances_do_not_go_there():
--- a/tests/components/gateway/fakes.py
+++ b/tests/components/gateway/fakes.py
@@ -253,7 +253,7 @@
         )
         self.directory = Directory()
         for index, upstream in enumerate(upstreams):
-            self.directory.take(upstream.entry(f"i-{index + 1}"))
+            self.directory.apply(upstream.entry(f"i-{index + 1}"))
         self.routes = Routes()
         self.routes.table = RoutingTable(
             version,
@@ -261,7 +261,7 @@
             {KEY: Caller("w-1")},
             limits or CallerLimits(idle_s=1.0),
         )
-        self.routes.known.set()
+        self.routes.loaded.set()
         source = random.Random(7)
         self.published = []
         self.shifts = Shifts(self.host, "inc", None, self.directory, lambda: 1)
--- a/tests/components/gateway/scripted.py
+++ b/tests/components/gateway/scripted.py
@@ -45,6 +45,6 @@
 class SlowPool:
     """A pool of connections to which something happens as one is taken."""
 
-    def __init__(self, take, pool):
-        self.take = take
-        self.give_back = pool.give_back
+    def __init__(self, acquire, pool):
+        self.acquire = acquire
+        self.release = pool.release
--- a/tests/components/gateway/test_answer_news.py
+++ b/tests/components/gateway/test_answer_news.py
@@ -80,7 +80,7 @@
 )
 def test_answer_that_is_not_the_instances_own_ends_no_limit(step):
     stage = served(answer(extra=b"Server-Limit: 3\r\n"), step)
-    [signals] = stage.directory.signals.known.values()
+    [signals] = stage.directory.signals.by_incarnation.values()
     assert signals.limit.own_per_s == 3.0
 
 
--- a/tests/components/gateway/test_at_most_once.py
+++ b/tests/components/gateway/test_at_most_once.py
@@ -55,7 +55,7 @@
     stage.directory.remove("i-2", doubtful=False)
     if kept:
         assert stage.call(call_id="c-0")[0] == 200
-    stage.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
+    stage.directory.apply(upstreams[1].entry("i-2", failure_domain="d2"))
     status, headers, _ = stage.call(call_id="c-1")
     assert status in (502, 504)
     assert headers["attempt-id"] == "c-1"
@@ -73,7 +73,7 @@
 def test_request_that_may_repeat_is_answered_by_another(staged, fate):
     upstreams = [Upstream(FATES[fate]), Upstream()]
     stage = staged([route()], upstreams)
-    stage.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
+    stage.directory.apply(upstreams[1].entry("i-2", failure_domain="d2"))
     status, _, body = stage.call()
     assert (status, body) == (200, b"done")
     assert [len(u.requests) for u in upstreams] == [1, 1]
@@ -87,7 +87,7 @@
 ):
     upstreams = [Upstream(refuse()), Upstream()]
     stage = staged([route(Repeat.ONCE, max_attempts=attempts)], upstreams)
-    stage.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
+    stage.directory.apply(upstreams[1].entry("i-2", failure_domain="d2"))
     found, headers, _ = stage.call()
     assert found == status
     assert sum(len(u.requests) for u in upstreams) == sent
@@ -98,7 +98,7 @@
 def test_unreached_upstream_is_no_attempt(staged):
     gone, live = Upstream(), Upstream()
     stage = staged([route(Repeat.ONCE, max_attempts=1)], [gone, live])
-    stage.directory.take(live.entry("i-2", failure_domain="d2"))
+    stage.directory.apply(live.entry("i-2", failure_domain="d2"))
     gone.close()
     assert stage.call()[0] == 200
 
--- a/tests/components/gateway/test_bad_input.py
+++ b/tests/components/gateway/test_bad_input.py
@@ -95,13 +95,13 @@
 
 def test_first_configuration_is_waited_for(stage):
     table, stage.routes.table = stage.routes.table, None
-    stage.routes.known.clear()
+    stage.routes.loaded.clear()
     try:
         status, _, body = stage.call()
         assert (status, b"not_ready" in body) == (503, True)
     finally:
         stage.routes.table = table
-        stage.routes.known.set()
+        stage.routes.loaded.set()
 
 
 def test_shut_port_refuses_what_it_reads(stage):
--- a/tests/components/gateway/test_cold_instances.py
+++ b/tests/components/gateway/test_cold_instances.py
@@ -140,7 +140,7 @@
     unsure = answer(extra=b"Confidence: 5\r\n" + EVENTS)
 
     def turn_cold(*args):
-        stage.directory.instances["i-1"].is_cold_for(9.0)
+        stage.directory.instances["i-1"].set_cold_for(9.0)
         unsure(*args)
 
     upstream = Upstream(turn_cold, answer(b"id: 1\ndata: x\n\n", EVENTS))
--- a/tests/components/gateway/test_streams.py
+++ b/tests/components/gateway/test_streams.py
@@ -31,7 +31,7 @@
 
 def add(stage, upstream, name="i-2"):
     """Add an instance that is asked after the first."""
-    stage.directory.take(upstream.entry(name, failure_domain="d2"))
+    stage.directory.apply(upstream.entry(name, failure_domain="d2"))
 
 
 # How the first instance's stream ends after its first event.
@@ -122,7 +122,7 @@
         entry = upstreams[number].entry(
             f"i-{number + 1}", failure_domain=domain
         )
-        stage.directory.take(entry)
+        stage.directory.apply(entry)
         stage.directory.instances[entry.id].running = number * 3
     assert stage.call(extra="Model: *\r\n", deadline_ms=3000)[2] == WHOLE
     assert [len(one.requests) for one in upstreams] == [1, 1, 1, 0]
--- a/tests/components/gateway/test_suspects.py
+++ b/tests/components/gateway/test_suspects.py
@@ -177,9 +177,9 @@
 
     __slots__ = ("meanwhile",)
 
-    def take(self, entry, timeout_s):
+    def acquire(self, entry, timeout_s):
         self.meanwhile()
-        return super().take(entry, timeout_s)
+        return super().acquire(entry, timeout_s)
 
 
 def test_request_that_waits_as_the_evidence_comes_is_not_sent(staged):
@@ -219,7 +219,7 @@
     stage = staged([route(Repeat.ONCE)], [upstream])
     instance = stage.directory.instances["i-1"]
     assert stage.call(body=b"any")[0] == 503
-    assert instance.heard_at == 0.0
+    assert instance.last_received_at == 0.0
     assert instance.answered_at < 0.0
 
 
--- a/tests/components/gossip/test_limits.py
+++ b/tests/components/gossip/test_limits.py
@@ -7,7 +7,7 @@
 from lacewingdock.components.gossip import MAX_LIMITS, decode, encode
 from lacewingdock.components.gossip.load import FleetLoad
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.components.upstreams.limits import Limit
+from lacewingdock.components.upstreams.limits import RateLimit
 from lacewingdock.daemons.router_ports import build_gossip
 from lacewingdock.world.call import AnswerHead
 from lacewingdock.world.host import HostProfile
@@ -18,7 +18,7 @@
     """Return the port of a router that knows some instances, and these."""
     directory = Directory()
     for number in range(instances):
-        directory.take(entry(f"i-{number}", host=f"10.0.{number}.1"))
+        directory.apply(entry(f"i-{number}", host=f"10.0.{number}.1"))
     host = HostProfile(
         instance=name,
         failure_domain="a",
@@ -65,7 +65,7 @@
     assert limits.count(None) == 70 - MAX_LIMITS
 
 
-class Ending(Limit):
+class Ending(RateLimit):
     """A limit that ends while it is read."""
 
     @property
@@ -93,6 +93,6 @@
 
 def test_limit_that_ends_while_it_is_weighed_is_no_fault():
     """Guards against: a request that fails since a limit ended meanwhile."""
-    limit = Ending(told_per_s=2.0, told_at=9.0, until=99.0)
+    limit = Ending(peer_per_s=2.0, peer_observed_at=9.0, until=99.0)
     limit.reads = 0
     assert limit.at(10.0) == 2.0
--- a/tests/components/gossip/test_load.py
+++ b/tests/components/gossip/test_load.py
@@ -34,7 +34,7 @@
 def directory(names="abcd"):
     found = Directory()
     for name in names:
-        found.take(UpstreamEntry(name, "svc", "h", 1, "d", "v1", 4))
+        found.apply(UpstreamEntry(name, "svc", "h", 1, "d", "v1", 4))
     return found
 
 
@@ -170,7 +170,7 @@
         if clock.now < silent_from:
             for one in fleet:
                 found = one.instances["a"]
-                found.heard_at = clock.now if found.running else 0.0
+                found.last_received_at = clock.now if found.running else 0.0
         for number, one in enumerate(fleet):
             message = Message(f"r-{number}", 1, 1, rows_of(one))
             for other in draw.sample(fleet, min(25, routers)):
--- a/tests/components/mirror/test_mirror.py
+++ b/tests/components/mirror/test_mirror.py
@@ -210,12 +210,12 @@
     mirror, directory, _ = mirror_of(
         listed(5, "a"), Changes(6, [Change(entry("b"), False)]), listed(7, "c")
     )
-    take, faults = directory.take, [ValueError("a fault")]
+    apply, faults = directory.apply, [ValueError("a fault")]
 
     def fail_once(found):
         if faults:
             raise faults.pop()
-        take(found)
+        apply(found)
 
     mirror.listener.directory = type(
         "",
--- a/tests/components/pacing/limited_fleet.py
+++ b/tests/components/pacing/limited_fleet.py
@@ -60,7 +60,7 @@
         self.fleet = fleet
         self.directory = Directory(fleet)
         for one in (LIMITED, OTHER):
-            self.directory.take(entry(one, host=f"10.0.0.{len(one)}"))
+            self.directory.apply(entry(one, host=f"10.0.0.{len(one)}"))
         # It is always the limited one that looks idle.
         self.directory.instances[OTHER].running = 1000
         self.chooser = Chooser(self.directory, "a", fleet.draw)
--- a/tests/components/pacing/test_cold_instances.py
+++ b/tests/components/pacing/test_cold_instances.py
@@ -15,7 +15,7 @@
 from lacewingdock.components.pacing.shares import Allowance, shares
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.world.host import Bounds
 from lacewingdock.world.route import ServiceLimits
 from tests.components.upstreams.entries import entry
@@ -32,7 +32,7 @@
 
 def cold(name, since=0.0):
     """Return an instance that became cold at a moment, for a long time."""
-    found = Instance(entry(name))
+    found = UpstreamInstance(entry(name))
     found.cold_from = since
     found.cold_until = since + COLD.cold_start_s
     return found
@@ -244,9 +244,9 @@
         self.directory = Directory()
         self.directory.cold_start_s = lambda _: 3.0
         for name in warm:
-            self.directory.take(entry(name))
+            self.directory.apply(entry(name))
         for name in chilled:
-            self.directory.take(entry(name, cold_left_s=3.0))
+            self.directory.apply(entry(name, cold_left_s=3.0))
             # For long enough that this router's first turn has come.
             self.directory.instances[name].cold_from -= 2.0
         self.chooser = Chooser(self.directory, "a", random.Random(3))
@@ -290,7 +290,7 @@
     # Each is booked for one request alone.
     assert turns[2].at - turns[0].at == pytest.approx(gap_s, abs=0.01)
     assert sum(one.running for one in stage.directory.of_service("svc")) == 6
-    after_s = stage.chooser.next_turn_s("svc", lambda _: True)
+    after_s = stage.chooser.next_send_s("svc", lambda _: True)
     assert after_s == pytest.approx(3 * gap_s, abs=0.05)
 
 
@@ -298,7 +298,7 @@
     stage = Stage(chilled=["c"], share=False)
     assert stage.choose() is None
     assert stage.reserve(9.0) is None
-    after_s = stage.chooser.next_turn_s("svc", lambda _: True)
+    after_s = stage.chooser.next_send_s("svc", lambda _: True)
     assert after_s == pytest.approx(3.0, abs=0.1)
 
 
@@ -317,7 +317,7 @@
 def test_entry_says_whether_it_is_cold(entries, is_cold):
     found = Directory()
     for one in entries:
-        found.take(one)
+        found.apply(one)
     instance = found.instances["i"]
     now = instance.failed_at
     assert instance.is_cold(now + 0.01) is is_cold
--- a/tests/components/pacing/test_named_limits.py
+++ b/tests/components/pacing/test_named_limits.py
@@ -16,7 +16,7 @@
     VIEWS,
 )
 from lacewingdock.components.pacing.shares import Allowance, shares
-from lacewingdock.components.upstreams.limits import TOLD_S
+from lacewingdock.components.upstreams.limits import PEER_LIMIT_S
 from lacewingdock.components.upstreams.signals import SignalMemory, Signals
 from lacewingdock.world.call import AnswerHead
 from tests.components.pacing.limited_fleet import Fleet
@@ -165,9 +165,9 @@
         ([(0, ("answer", 3.0)), (500, None)], 3.0),
         # Another router's word lowers it for a while, and never raises it.
         ([(0, ("told", 2.0))], 2.0),
-        ([(0, ("told", 2.0)), (TOLD_S, None)], None),
+        ([(0, ("told", 2.0)), (PEER_LIMIT_S, None)], None),
         ([(0, ("answer", 3.0)), (1, ("told", 2.0))], 2.0),
-        ([(0, ("answer", 3.0)), (1, ("told", 2.0)), (TOLD_S, None)], 3.0),
+        ([(0, ("answer", 3.0)), (1, ("told", 2.0)), (PEER_LIMIT_S, None)], 3.0),
         ([(0, ("answer", 3.0)), (1, ("told", 9.0))], 3.0),
         ([(0, ("told", 2.0)), (1, ("answer", 3.0))], 3.0),
         ([(0, ("told", 2.0)), (1, ("none", 0.5))], None),
@@ -196,9 +196,11 @@
                     entry("i"), signals, NAMES_NONE, clock.time - ago_s
                 )
             case ("told", value):
-                memory.told_limit(entry("i"), limit, value, clock.time, "r-2")
+                memory.apply_peer_limit(
+                    entry("i"), limit, value, clock.time, "r-2"
+                )
             case ("late", value):
-                memory.told_limit(
+                memory.apply_peer_limit(
                     entry("i"), limit, value, clock.time - 5.0, "r-2"
                 )
     assert limit.at(clock.time) == per_s
@@ -216,7 +218,7 @@
     assert second.instance.limit.at(fleet.now()) == 3.0
     assert limits_of(second.directory) == []
     # Nor what was not heard for long.
-    fleet.time += TOLD_S
+    fleet.time += PEER_LIMIT_S
     assert limits_of(first.directory) == []
 
 
--- a/tests/components/suspects/fleet.py
+++ b/tests/components/suspects/fleet.py
@@ -33,7 +33,7 @@
         self.directories = [Directory() for _ in range(count)]
         for directory in self.directories:
             for number in range(instances):
-                directory.take(entry(f"i-{number}"))
+                directory.apply(entry(f"i-{number}"))
         self.writes = 0
         self.alive = set()
         self.unclear = set()
--- a/tests/components/suspects/test_suspects.py
+++ b/tests/components/suspects/test_suspects.py
@@ -78,7 +78,7 @@
     for number in range(3):
         suspects.lost(call(), "w", f"i-{number}")
         clock.now += 0.2
-        directory.instances[f"i-{number}"].heard_at = clock.now
+        directory.instances[f"i-{number}"].last_received_at = clock.now
     assert not suspects.holds(call(), "w")
     clock.now += 1.0
     fleet.round()
--- a/tests/components/suspects/test_verdict.py
+++ b/tests/components/suspects/test_verdict.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lacewingdock.components.suspects.verdict import Fate, fate_of
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from tests.components.suspects.fleet import entry
 
 LOST_AT = 100.0
@@ -28,7 +28,7 @@
     ],
 )
 def test_what_became_of_an_instance(signs, fate):
-    instance = Instance(entry("i-1"))
+    instance = UpstreamInstance(entry("i-1"))
     for name, value in signs.items():
         setattr(instance, name, value)
     assert fate_of(instance, LOST_AT) == fate
--- a/tests/components/upstreams/signalling_fleet.py
+++ b/tests/components/upstreams/signalling_fleet.py
@@ -14,7 +14,7 @@
 )
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.shifts import VersionRule
-from lacewingdock.components.upstreams.choice import Chooser, Turn
+from lacewingdock.components.upstreams.choice import Chooser, Reservation
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.world.call import AnswerHead
 from lacewingdock.world.host import Bounds
@@ -119,7 +119,7 @@
         self.frozen_until = 0.0
         self.directory = Directory(fleet)
         for one in fleet.instances.values():
-            self.take(one)
+            self.apply(one)
         self.chooser = Chooser(self.directory, "a", fleet.draw)
         self.chooser.pacer = Pacer(
             name,
@@ -130,9 +130,9 @@
             fleet.now(),
         )
 
-    def take(self, one):
+    def apply(self, one):
         """Take an instance's entry."""
-        self.directory.take(entry(one.name, host=one.host))
+        self.directory.apply(entry(one.name, host=one.host))
 
     def later(self, seconds, call, *args):
         """Call something later, once the router is awake, if it lives."""
@@ -158,7 +158,7 @@
         found = find_place(self.chooser, seeker)
         if isinstance(found, NoPlace):
             self.fleet.refused.append((self.fleet.now(), found.after_s))
-        elif isinstance(found, Turn):
+        elif isinstance(found, Reservation):
             wait_s = max(found.at - self.fleet.now(), 0.0)
             self.later(wait_s, self.turn, found.instance, sent_at)
         else:
@@ -166,7 +166,7 @@
 
     def turn(self, instance, sent_at):
         """A request's turn at an instance has come."""
-        if instance.takes_any(self.fleet.now()):
+        if instance.accepts_requests(self.fleet.now()):
             self.send(instance, sent_at)
         else:
             self.chooser.done(instance)
@@ -180,7 +180,7 @@
 
     def write(self, instance, sent_at, placed_at):
         """Write a request, unless the instance wants none any more."""
-        if not instance.takes_any(self.fleet.now()):
+        if not instance.accepts_requests(self.fleet.now()):
             self.chooser.done(instance)
             self.offer(sent_at)
             return
--- a/tests/components/upstreams/test_asked_choice.py
+++ b/tests/components/upstreams/test_asked_choice.py
@@ -67,7 +67,7 @@
     for number in range(ROUTERS):
         known = Directory()
         for host in engines.running:
-            known.take(UpstreamEntry(host, "svc", host, 1, "d", "v1", PLACES))
+            known.apply(UpstreamEntry(host, "svc", host, 1, "d", "v1", PLACES))
         chooser = Chooser(known, "d", random.Random(number))
         chooser.prober = engines if asks else None
         routers.append(chooser)
@@ -115,7 +115,7 @@
     engines.lying = set(engines.running)
     known = Directory()
     for host in ("h-0", "h-1"):
-        known.take(UpstreamEntry(host, "svc", host, 1, "d", "v1", PLACES))
+        known.apply(UpstreamEntry(host, "svc", host, 1, "d", "v1", PLACES))
     chooser = Chooser(known, "d", random.Random(1))
     chooser.prober = engines
     found = [
--- a/tests/components/upstreams/test_choice.py
+++ b/tests/components/upstreams/test_choice.py
@@ -31,7 +31,7 @@
     """Return a chooser in domain "a" over instances by name."""
     found = Directory()
     for name, domain in domains.items():
-        found.take(UpstreamEntry(name, "svc", "h", 1, domain, "v1", 4))
+        found.apply(UpstreamEntry(name, "svc", "h", 1, domain, "v1", 4))
     return Chooser(found, "a", random.Random(3))
 
 
@@ -90,7 +90,7 @@
     found = chooser(x="a", y="a")
     if leaving:
         entry = UpstreamEntry("x", "svc", "h", 1, "a", "v1", 4, leaving=True)
-        found.directory.take(entry)
+        found.directory.apply(entry)
     else:
         found.directory.remove("x", doubtful=False)
     assert choose(found, 5) == {"y": 5}
--- a/tests/components/upstreams/test_leaving.py
+++ b/tests/components/upstreams/test_leaving.py
@@ -18,7 +18,7 @@
     """Return a directory that knows some instances."""
     found = Directory()
     for one in entries or (entry("a"), entry("b", host="10.0.0.2")):
-        found.take(one)
+        found.apply(one)
     return found
 
 
@@ -62,22 +62,22 @@
     ("then", "leaving"),
     [
         # Its entry says that it is ready, for want of the store.
-        (lambda one: one.take(entry("a", cold_left_s=1.0)), True),
+        (lambda one: one.apply(entry("a", cold_left_s=1.0)), True),
         # It ran out, and came back.
         (
             lambda one: (
                 one.remove("a", doubtful=False),
-                one.take(entry("a")),
+                one.apply(entry("a")),
             ),
             True,
         ),
         # Another start of it, and another instance at its address, are others.
-        (lambda one: one.take(entry("a", born=5)), False),
+        (lambda one: one.apply(entry("a", born=5)), False),
         (
             lambda one: (
                 one.remove("a", doubtful=False),
-                one.take(entry("c")),
-                one.take(entry("a", host="10.0.0.9", born=7)),
+                one.apply(entry("c")),
+                one.apply(entry("a", host="10.0.0.9", born=7)),
             ),
             False,
         ),
--- a/tests/components/upstreams/test_replaced.py
+++ b/tests/components/upstreams/test_replaced.py
@@ -29,7 +29,7 @@
     """Return a directory that was told of entries, in turn."""
     found = Directory()
     for one in entries:
-        found.take(one)
+        found.apply(one)
     return found
 
 
@@ -72,13 +72,13 @@
     """
     found = told(*order)
     dead = found.instances["old"]
-    found.answered_by_other(dead, "new")
-    found.take(OLD)
+    found.mark_replaced(dead, "new")
+    found.apply(OLD)
     assert not dead.open
     assert open_ids(found) == {"new"}
     assert (found.replaced_seen, found.replaced_told) == (1, 0)
     # Known already.
-    found.answered_by_other(dead, "new")
+    found.mark_replaced(dead, "new")
     assert found.replaced_seen == 1
 
 
@@ -91,15 +91,15 @@
     """
     found = told(NEW, entry("old", created=12))
     assert open_ids(found) == {"old"}
-    found.answered_by_other(found.instances["old"], "new")
+    found.mark_replaced(found.instances["old"], "new")
     assert open_ids(found) == {"new"}
 
 
 def test_replaced_start_may_come_at_another_address():
     found = told(OLD)
-    found.answered_by_other(found.instances["old"], "x")
+    found.mark_replaced(found.instances["old"], "x")
     assert open_ids(found) == set()
-    found.take(entry("old", ("10.0.0.2", 80), created=5))
+    found.apply(entry("old", ("10.0.0.2", 80), created=5))
     assert open_ids(found) == {"old"}
 
 
@@ -109,10 +109,10 @@
     Cause: what one found out the others had to find out again.
     """
     first, second = told(OLD), told(OLD)
-    first.answered_by_other(first.instances["old"], "x")
-    assert first.replaced_lately() == [mark_of("old")]
-    second.replaced_by_other(first.replaced_lately(), "r-1")
-    second.replaced_by_other([12345], "r-1")
+    first.mark_replaced(first.instances["old"], "x")
+    assert first.recently_replaced() == [mark_of("old")]
+    second.apply_peer_replacements(first.recently_replaced(), "r-1")
+    second.apply_peer_replacements([12345], "r-1")
     assert open_ids(second) == set()
     assert (second.replaced_seen, second.replaced_told) == (0, 1)
 
@@ -120,8 +120,8 @@
 def test_memory_is_bounded():
     found = Directory()
     for number in range(MAX_REPLACED + 10):
-        found.take(entry(f"i-{number}"))
-        found.answered_by_other(found.instances[f"i-{number}"], "x")
+        found.apply(entry(f"i-{number}"))
+        found.mark_replaced(found.instances[f"i-{number}"], "x")
     assert len(found.replaced) == MAX_REPLACED
 
 
--- a/tests/components/upstreams/test_restarts.py
+++ b/tests/components/upstreams/test_restarts.py
@@ -37,7 +37,7 @@
     """Return a directory that was told of entries, in turn."""
     found = Directory()
     for one in entries:
-        found.take(one)
+        found.apply(one)
     return found
 
 
@@ -51,12 +51,12 @@
     before = found.instances["i-1"]
     for _ in range(3):
         before.failed(1.0)
-    before.running, before.unread, before.heard_at = 7, 3.0, 9.0
-    found.take(entry(SECOND))
+    before.running, before.unread, before.last_received_at = 7, 3.0, 9.0
+    found.apply(entry(SECOND))
     after = found.instances["i-1"]
     assert after is not before and before.gone and after.open
     assert (after.running, after.unread, after.failures) == (0, 0.0, 0.0)
-    assert after.heard_at == 0.0
+    assert after.last_received_at == 0.0
     assert found.of_service("svc") == [after]
     # Requests of the earlier start end without touching the later's counts.
     Chooser(found, "a", random.Random(1)).done(before)
@@ -85,9 +85,9 @@
 def test_late_entry_of_an_earlier_start_brings_nothing_back():
     found = directory(entry(SECOND))
     found.remove("i-1", doubtful=False)
-    found.take(entry(FIRST))
+    found.apply(entry(FIRST))
     assert not found.instances
-    found.take(entry(SECOND))
+    found.apply(entry(SECOND))
     assert found.instances["i-1"].open
 
 
@@ -98,7 +98,7 @@
 def test_births_that_are_remembered_are_bounded():
     found = Directory()
     for number in range(5000):
-        found.take(entry(FIRST, id=f"i-{number}"))
+        found.apply(entry(FIRST, id=f"i-{number}"))
         found.remove(f"i-{number}", doubtful=False)
     assert len(found.births) < 300
 
@@ -113,8 +113,8 @@
     pool = ConnectionPool()
     pool.idle[entry(FIRST).incarnation] = [UpstreamConnection(near, 9.0)]
     with pytest.raises(UpstreamLost):
-        pool.take(entry(SECOND), 0.2)
-    assert pool.take(entry(FIRST), 0.2).sock is near
+        pool.acquire(entry(SECOND), 0.2)
+    assert pool.acquire(entry(FIRST), 0.2).sock is near
     near.close()
     far.close()
 
@@ -139,6 +139,6 @@
     held = []
     for number in range(3):
         name = found.instances[f"i-{number}"].entry.incarnation
-        found.take(entry(SECOND, id=f"i-{number}"))
+        found.apply(entry(SECOND, id=f"i-{number}"))
         held.append(suspects.lost(call, "w", name))
     assert held == [False, False, True]
--- a/tests/components/upstreams/test_resting.py
+++ b/tests/components/upstreams/test_resting.py
@@ -69,7 +69,7 @@
 def test_whose_word_counts(steps, left_s):
     clock = Clock()
     directory = Directory(clock)
-    directory.take(entry("a"))
+    directory.apply(entry("a"))
     one = directory.instances["a"]
     for later_s, head in steps:
         clock.time += later_s
@@ -77,21 +77,21 @@
     assert max(one.rest.until - clock.time, 0.0) == pytest.approx(left_s)
     resting = one.state(clock.time) is InstanceState.RESTING
     assert resting is (left_s > 0)
-    assert one.takes_any(clock.time) is not resting
+    assert one.accepts_requests(clock.time) is not resting
     assert one.open
 
 
 def test_rest_belongs_to_a_start_and_outlives_its_entry():
     clock = Clock()
     directory = Directory(clock)
-    directory.take(entry("a"))
+    directory.apply(entry("a"))
     one = directory.instances["a"]
     directory.signals.answered(one.entry, one.signals, busy(5.0), 0.0)
     directory.remove("a", doubtful=False)
-    directory.take(entry("a"))
-    assert not directory.instances["a"].takes_any(clock.time)
-    directory.take(entry("a", born=7))
-    assert directory.instances["a"].takes_any(clock.time)
+    directory.apply(entry("a"))
+    assert not directory.instances["a"].accepts_requests(clock.time)
+    directory.apply(entry("a", born=7))
+    assert directory.instances["a"].accepts_requests(clock.time)
 
 
 @given(
--- a/tests/daemons/observed_router.py
+++ b/tests/daemons/observed_router.py
@@ -70,7 +70,7 @@
     def _drop_lapsed(self):
         while True:
             self.time.sleep(LAPSED_S)
-            self.directory.take_held()
+            self.directory.apply_held()
             if not self.health.doubtful:
                 self.directory.drop_lapsed()
                 self.cordons.settle()
