--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -86,7 +86,7 @@
         self.random = source
         self.unknown_headers = UnknownNames("answer")
         self.odd_values = UnknownNames("value")
-        self.essentials = [routes.known]
+        self.essentials = [routes.loaded]
 
     def wait_known(self, timeout_s: float) -> None:
         """Wait until what a request needs is known, as at a start."""
--- a/lacewingdock/components/upstreams/connection.py
+++ b/lacewingdock/components/upstreams/connection.py
@@ -53,9 +53,9 @@
         "_request",
         "_watched",
         "ended",
-        "last_received_at",
         "idle_since",
         "keep_s",
+        "last_received_at",
         "parser",
         "sock",
     )
--- a/lacewingdock/components/upstreams/signals.py
+++ b/lacewingdock/components/upstreams/signals.py
@@ -70,8 +70,8 @@
 
     __slots__ = (
         "_lock",
-        "clock",
         "by_incarnation",
+        "clock",
         "leavings_said",
         "limits_named",
         "rests_asked",
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -355,7 +355,7 @@
     def _mirrors(self) -> dict[str, Mirror]:
         self.health = store_health(self._bounds, STEADY)
         listeners: dict[str, Listener] = {
-            KIND_CONFIGURATION: EachObject(self.routes.take),
+            KIND_CONFIGURATION: EachObject(self.routes.apply),
             KIND_INSTANCES: InstanceListener(self.directory),
             KIND_SHIFTS: EachObject(self.shifts.take, self.shifts.drop),
             KIND_REPORTS: EachObject(self.shifts.take_stored_report),
--- a/lacewingdock/daemons/router_return.py
+++ b/lacewingdock/daemons/router_return.py
@@ -32,7 +32,7 @@
 
     def returned() -> None:
         health.restored()
-        directory.restored(held_s(bounds()))
+        directory.hold_older_entries(held_s(bounds()))
         suspects.tell_again()
         routers.due.set()
 
--- a/tests/components/gateway/test_leaving_instances.py
+++ b/tests/components/gateway/test_leaving_instances.py
@@ -65,7 +65,7 @@
     leaving, other = Counting(), Counting()
     stage = stages(leaving, other)
     stage.directory.instances["i-2"].running = 50
-    connect = stage.gateway.pool.take
+    connect = stage.gateway.pool.acquire
 
     def slow(entry, timeout_s):
         if entry.id == "i-1":
--- a/tests/components/mirror/test_mirror.py
+++ b/tests/components/mirror/test_mirror.py
@@ -221,7 +221,7 @@
         "",
         (),
         {
-            "take": staticmethod(fail_once),
+            "apply": staticmethod(fail_once),
             "replace_all": directory.replace_all,
             "remove": directory.remove,
         },
--- a/tests/components/shifts/fakes.py
+++ b/tests/components/shifts/fakes.py
@@ -64,7 +64,7 @@
     """Return a router's roll-outs, with the order seen."""
     directory = Directory()
     for index, version in enumerate(entries):
-        directory.take(
+        directory.apply(
             UpstreamEntry(f"i-{index}", "svc", "h", 1, "d", version, 4)
         )
     host = HostProfile(
--- a/tests/components/suspects/test_verdict.py
+++ b/tests/components/suspects/test_verdict.py
@@ -16,15 +16,27 @@
         ({"answered_at": LOST_AT}, Fate.PROVED),
         # Sent before the loss: the start may have ended since.
         ({"answered_at": LOST_AT - 0.01}, Fate.UNKNOWN),
-        ({"answered_at": LOST_AT + 1, "unreached_at": LOST_AT + 2}, "proved"),
-        ({"unreached_at": LOST_AT}, Fate.CRASHED),
-        ({"unreached_at": LOST_AT - 0.01}, Fate.UNKNOWN),
+        (
+            {"answered_at": LOST_AT + 1, "connect_failed_at": LOST_AT + 2},
+            "proved",
+        ),
+        ({"connect_failed_at": LOST_AT}, Fate.CRASHED),
+        ({"connect_failed_at": LOST_AT - 0.01}, Fate.UNKNOWN),
         # Bytes that came before the loss may be read a little after it.
-        ({"heard_at": LOST_AT + 0.05}, Fate.UNKNOWN),
-        ({"heard_at": LOST_AT + 0.2}, Fate.LIVES),
-        ({"heard_at": LOST_AT + 0.2, "unreached_at": LOST_AT}, Fate.LIVES),
+        ({"last_received_at": LOST_AT + 0.05}, Fate.UNKNOWN),
+        ({"last_received_at": LOST_AT + 0.2}, Fate.LIVES),
+        (
+            {"last_received_at": LOST_AT + 0.2, "connect_failed_at": LOST_AT},
+            Fate.LIVES,
+        ),
         # They were read late by a router without processor time.
-        ({"heard_at": LOST_AT + 0.2, "unreached_at": LOST_AT + 1}, "crashed"),
+        (
+            {
+                "last_received_at": LOST_AT + 0.2,
+                "connect_failed_at": LOST_AT + 1,
+            },
+            "crashed",
+        ),
     ],
 )
 def test_what_became_of_an_instance(signs, fate):
--- a/tests/daemons/observed_router.py
+++ b/tests/daemons/observed_router.py
@@ -57,7 +57,7 @@
     def returned(self):
         """Do what is done when the store is back from a copy."""
         self.health.restored()
-        self.directory.restored(held_s(self.bounds))
+        self.directory.hold_older_entries(held_s(self.bounds))
 
     def observe(self):
         """Start the tasks that look."""
