--- a/tests/components/gateway/test_limited_instances.py
+++ b/tests/components/gateway/test_limited_instances.py
@@ -132,7 +132,7 @@
     stage.directory.instances["i-2"].running = 50
     limit = stage.directory.instances["i-1"].limit
     limit.own_per_s, limit.named_at = per_s, time.monotonic()
-    limit.settle()
+    limit.update_until()
     assert stage.call(extra="Model: *\r\n")[0] == 200
     [head] = instance.requests
     assert f"model: {model}" in head.lower()
@@ -158,7 +158,7 @@
     stage.directory.instances["i-2"].running = 50
     limit = stage.directory.instances["i-2"].limit
     limit.own_per_s, limit.named_at = 3.0, time.monotonic()
-    limit.settle()
+    limit.update_until()
     status, _, body = stage.call(extra="Model: *\r\n")
     assert (status, body) == (200, b"id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n")
     for upstream in (broken, limited):
