--- a/lacewingdock/components/gateway/cascade.py
+++ b/lacewingdock/components/gateway/cascade.py
@@ -11,7 +11,7 @@
     Pressure,
 )
 from lacewingdock.components.upstreams.choice import Chooser
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.world.call import AnswerHead, Call
 from lacewingdock.world.route import Repeat, Route
@@ -121,7 +121,7 @@
         )
 
     def on_instance_chosen(
-        self, instance: Instance, *, resumes_stream: bool
+        self, instance: UpstreamInstance, *, resumes_stream: bool
     ) -> None:
         """Choose the largest model where the instance has a rate limit.
 
@@ -172,6 +172,6 @@
             self.route.repeat is Repeat.RESUMABLE
             and self.route.max_attempts > ATTEMPTS_OF_CASCADE
             and self.gateway.budget(self.service).saved >= CASCADE_RESERVE
-            and not self.gateway.chooser.takes_few(self.service)
+            and not self.gateway.chooser.is_paced(self.service)
         )
         return models[0] if may_escalate else models[-1]
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -46,8 +46,8 @@
 from lacewingdock.components.suspects.decision import Decision
 from lacewingdock.components.upstreams.connection import CallerLeft
 from lacewingdock.components.upstreams.instance import (
-    FAILURES_TO_PASS_OVER,
-    Instance,
+    EJECTION_FAILURES,
+    UpstreamInstance,
 )
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.log import get_logger
@@ -252,7 +252,7 @@
                 return answered(head.status)
             return self._give_up(result)
 
-    def _choose(self) -> Instance:
+    def _choose(self) -> UpstreamInstance:
         """Return the instance of the next attempt.
 
         Raises:
@@ -319,7 +319,7 @@
         share = costs.relative_cost(self.cascade.model) if costs else 1.0
         return call.tokens_in * share / WORK_UNIT
 
-    def _attempt(self, instance: Instance) -> Result:
+    def _attempt(self, instance: UpstreamInstance) -> Result:
         start, unread = time.monotonic(), self.unread
         attempt = Attempt(
             self.gateway.pool,
@@ -330,7 +330,8 @@
             self.progress,
             self.route.streaming,
             lambda: (
-                self._check_poison() or not instance.takes_any(time.monotonic())
+                self._check_poison()
+                or not instance.accepts_requests(time.monotonic())
             ),
             # `tried` does not include this attempt yet.
             lambda head: self.cascade.accepts(head, len(self.tried) + 1),
@@ -385,12 +386,12 @@
             rank = self.caller.priority
         return min(max(rank, 0), LAST_PRIORITY)
 
-    def _timeouts(self, instance: Instance) -> ReadTimeouts:
+    def _timeouts(self, instance: UpstreamInstance) -> ReadTimeouts:
         """Return the timeouts of an attempt at an instance."""
         may_repeat = (
             self.route.repeat is not Repeat.ONCE
             and len(self.tried) + 1 < self.route.max_attempts
-            and self.gateway.chooser.has_other(
+            and self.gateway.chooser.has_untried_instance(
                 self.service, [*self.tried, instance.entry.incarnation]
             )
         )
@@ -414,7 +415,11 @@
             self.gateway.pressure(self.service).slowdown.ended(mean_s)
 
     def _record_result(
-        self, instance: Instance, result: Result, start: float, events: int
+        self,
+        instance: UpstreamInstance,
+        result: Result,
+        start: float,
+        events: int,
     ) -> None:
         """Record a result for the instance, its version and the request."""
         match result:
@@ -422,8 +427,8 @@
                 return
             case NotRun(_, reached=False):
                 self.unreached += 1
-                instance.took_no_connection()
-                self.gateway.chooser.directory.may_be_cold(instance)
+                instance.record_connect_failure()
+                self.gateway.chooser.directory.assume_cold(instance)
                 return
             case NotRun(replaced_by=other) if other:
                 # The entry was stale, so the attempt does not count against the
@@ -460,13 +465,13 @@
             self.call.session,
         )
 
-    def _succeeded(self, instance: Instance) -> None:
+    def _succeeded(self, instance: UpstreamInstance) -> None:
         """Count a success; an instance that had failed may be cold again."""
-        if instance.recent_failures(time.monotonic()) >= FAILURES_TO_PASS_OVER:
-            self.gateway.chooser.directory.may_be_cold(instance)
+        if instance.recent_failures(time.monotonic()) >= EJECTION_FAILURES:
+            self.gateway.chooser.directory.assume_cold(instance)
         instance.succeeded()
 
-    def _record_loss(self, instance: Instance, result: Broken) -> None:
+    def _record_loss(self, instance: UpstreamInstance, result: Broken) -> None:
         """Record a lost request, which may have crashed its instance."""
         suspects, start = self.gateway.suspects, instance.entry.incarnation
         if not result.ended:
@@ -505,7 +510,7 @@
             return self._break_off(detail)
         if self.is_poison and not self.may_have_run:
             raise repeats_crash_error()
-        after_s = self.gateway.chooser.next_turn_s(self.service)
+        after_s = self.gateway.chooser.next_send_s(self.service)
         raise self._no_answer(detail, after_s)
 
     def _break_off(self, detail: str) -> Outcome:
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -14,7 +14,7 @@
 from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.suspects import PoisonRequests
 from lacewingdock.components.upstreams.choice import Chooser
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.components.upstreams.pool import ConnectionPool
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger
@@ -87,13 +87,13 @@
         self.random = source
         self.unknown_headers = UnknownNames("answer")
         self.odd_values = UnknownNames("value")
-        self.readiness_events = [routes.known]
+        self.readiness_events = [routes.loaded]
 
     def wait_until_ready(self, timeout_s: float) -> None:
         """Wait until the state that a request needs is loaded after a start."""
         until = time.monotonic() + timeout_s
-        for known in self.readiness_events:
-            known.wait(max(until - time.monotonic(), 0.0))
+        for loaded in self.readiness_events:
+            loaded.wait(max(until - time.monotonic(), 0.0))
 
     def budget(self, service: str) -> FleetBudget:
         """Return the retry budget of a service."""
@@ -114,7 +114,7 @@
         return self.pressures.setdefault(service, Pressure())
 
     def record_head(
-        self, instance: Instance, head: AnswerHead, sent_at: float
+        self, instance: UpstreamInstance, head: AnswerHead, sent_at: float
     ) -> None:
         """Record what the head of an answer reports about its instance.
 
--- a/lacewingdock/components/gateway/placement.py
+++ b/lacewingdock/components/gateway/placement.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 from lacewingdock.components.shifts import VersionRule
-from lacewingdock.components.upstreams.choice import Chooser, Turn
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.choice import Chooser, Reservation
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.log import get_logger
 
 log = get_logger("gateway")
@@ -37,7 +37,7 @@
     request: str
     turn_deadline: float
 
-    def allows(self, instance: Instance) -> bool:
+    def allows(self, instance: UpstreamInstance) -> bool:
         """Return whether an instance may run the request."""
         return self.rule.admits(instance.entry)
 
@@ -56,7 +56,7 @@
 
 def find_instance(
     chooser: Chooser, placement_request: PlacementRequest
-) -> Instance | Turn | NoInstance:
+) -> UpstreamInstance | Reservation | NoInstance:
     """Choose an instance for a request, and count the request as running there.
 
     Where only paced instances may run the request, and none has a turn now, a
@@ -80,17 +80,17 @@
     if turn is not None:
         return turn
     return NoInstance(
-        chooser.next_turn_s(placement_request.service, placement_request.allows)
+        chooser.next_send_s(placement_request.service, placement_request.allows)
     )
 
 
 def wait_for_instance(
     chooser: Chooser, placement_request: PlacementRequest
-) -> Instance | NoInstance:
+) -> UpstreamInstance | NoInstance:
     """Choose an instance for a request, and wait for its turn there."""
     while True:
         found = find_instance(chooser, placement_request)
-        if not isinstance(found, Turn):
+        if not isinstance(found, Reservation):
             return found
         wait_s = max(found.at - time.monotonic(), 0.0)
         log.info(
@@ -101,7 +101,7 @@
             wait_s=round(wait_s, 3),
         )
         time.sleep(wait_s)
-        if found.instance.takes_any(time.monotonic()):
+        if found.instance.accepts_requests(time.monotonic()):
             return found.instance
         # The instance left or was cordoned during the wait.
         chooser.began(found.instance, placement_request.unread)
--- a/lacewingdock/components/pacing/__init__.py
+++ b/lacewingdock/components/pacing/__init__.py
@@ -39,7 +39,7 @@
     Shares,
     compute_shares,
 )
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.recent import remember
 from lacewingdock.world.host import Bounds
 from lacewingdock.world.route import ServiceLimits
@@ -106,13 +106,13 @@
         # instance's incarnation.
         self._sent_at: dict[str, float] = {}
 
-    def admits(self, instance: Instance, now: float) -> bool:
+    def admits(self, instance: UpstreamInstance, now: float) -> bool:
         """Return whether a request may be sent to an instance now."""
-        if not instance.takes_any(now):
+        if not instance.accepts_requests(now):
             return False
-        return not instance.takes_few(now) or self.due_at(instance, now) <= now
+        return not instance.is_paced(now) or self.due_at(instance, now) <= now
 
-    def due_at(self, instance: Instance, now: float) -> float:
+    def due_at(self, instance: UpstreamInstance, now: float) -> float:
         """Return when this router may next send to an instance.
 
         Returns:
@@ -126,7 +126,7 @@
             due.append(self._return_due_at(instance, now))
         return max(due, default=now)
 
-    def others_gap_s(self, instance: Instance, now: float) -> float:
+    def others_gap_s(self, instance: UpstreamInstance, now: float) -> float:
         """Return the time within which some router may send to an instance.
 
         Returns:
@@ -141,14 +141,16 @@
             default=math.inf,
         )
 
-    def record_sent(self, instance: Instance, at: float) -> None:
+    def record_sent(self, instance: UpstreamInstance, at: float) -> None:
         """Record a request that is sent to an instance at a given time."""
-        if not instance.takes_few(at):
+        if not instance.is_paced(at):
             return
         start = instance.entry.incarnation
         remember(self._sent_at, start, at, MAX_REMEMBERED)
 
-    def _bounds_of(self, instance: Instance, now: float) -> list[RateBound]:
+    def _bounds_of(
+        self, instance: UpstreamInstance, now: float
+    ) -> list[RateBound]:
         """Return the rate bounds on an instance, if any."""
         found = []
         if instance.is_cold(now) and (cold := self._cold_allowance(instance)):
@@ -162,7 +164,7 @@
             found.append(RateBound(named, instance.limit.since))
         return found
 
-    def _cold_allowance(self, instance: Instance) -> Allowance | None:
+    def _cold_allowance(self, instance: UpstreamInstance) -> Allowance | None:
         """Return the allowance of a cold instance; None without a limit."""
         limits = self.limits(instance.entry.service)
         if limits is None or not limits.cold_per_s:
@@ -172,7 +174,7 @@
         return Allowance(per_s, max_arrivals, COLD_SPAN_S)
 
     def _due_at(
-        self, instance: Instance, bound: RateBound, now: float
+        self, instance: UpstreamInstance, bound: RateBound, now: float
     ) -> float:
         """Return when one of the bounds next lets this router send."""
         if not self.known():
@@ -186,7 +188,7 @@
         return max(first, self._last_sent_at(instance) + gap_s, now)
 
     def _first_due(
-        self, instance: Instance, since: float, gap_s: float
+        self, instance: UpstreamInstance, since: float, gap_s: float
     ) -> float:
         """Return when the first request may be sent to an instance.
 
@@ -196,7 +198,7 @@
         """
         return max(since, self.started) + self._phase(instance) * gap_s
 
-    def _return_due_at(self, instance: Instance, now: float) -> float:
+    def _return_due_at(self, instance: UpstreamInstance, now: float) -> float:
         """Return when this router may send to an instance after its rest.
 
         Routers that were refused at the same time return in a staggered way,
@@ -206,10 +208,10 @@
         first = rest.until + self._phase(instance) * rest.return_s
         return max(first, self._last_sent_at(instance) + RETURN_GAP_S, now)
 
-    def _last_sent_at(self, instance: Instance) -> float:
+    def _last_sent_at(self, instance: UpstreamInstance) -> float:
         return self._sent_at.get(instance.entry.incarnation, -math.inf)
 
-    def _phase(self, instance: Instance) -> float:
+    def _phase(self, instance: UpstreamInstance) -> float:
         """Return this router's offset for an instance, from 0 to below 1."""
         digest = zlib.crc32(f"{self.name} {instance.mark}".encode())
         return digest / 2**32
@@ -218,7 +220,9 @@
         """Return how the routers divide an instance's allowance."""
         return compute_shares(bound.allowance, len(self.names()) + 1)
 
-    def _has_share(self, instance: Instance, sharing: int, now: float) -> bool:
+    def _has_share(
+        self, instance: UpstreamInstance, sharing: int, now: float
+    ) -> bool:
         """Return whether this router is among those with a share."""
         if now >= self._ring_until:
             names = frozenset(self.names()) | {self.name}
--- a/lacewingdock/components/suspects/__init__.py
+++ b/lacewingdock/components/suspects/__init__.py
@@ -37,7 +37,7 @@
 )
 from lacewingdock.components.suspects.decision import Decision
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.digest import digest
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.world.call import Call
@@ -131,7 +131,7 @@
         self,
         directory: Directory,
         publish: Callable[[Losses], bool],
-        check_address: Callable[[Instance], AddressCheck],
+        check_address: Callable[[UpstreamInstance], AddressCheck],
         source: random.Random,
     ) -> None:
         """Initialize without suspect requests.
@@ -396,7 +396,7 @@
                     lost_s=round(time.monotonic() - lost_at, 3),
                 )
 
-    def _check_address(self, instance: Instance) -> Responder:
+    def _check_address(self, instance: UpstreamInstance) -> Responder:
         """Check an instance's address, and record the result."""
         asked_at = time.monotonic()
         found = self.check_address(instance)
@@ -404,9 +404,9 @@
             case Responder.ITSELF:
                 instance.answered(asked_at)
             case Responder.ANOTHER:
-                self.directory.answered_by_other(instance, found.answered_by)
+                self.directory.mark_replaced(instance, found.answered_by)
             case Responder.NOTHING:
-                instance.took_no_connection()
+                instance.record_connect_failure()
         self.counts[_DECISION_BY_RESPONDER[found.responder]] += 1
         return found.responder
 
@@ -477,8 +477,8 @@
         """
         peer_crashes = {
             name
-            for name, heard_at in suspect.peer_losses.items()
-            if not self._seems_alive(name, heard_at)
+            for name, last_received_at in suspect.peer_losses.items()
+            if not self._seems_alive(name, last_received_at)
         }
         return peer_crashes.union(self._crashed(suspect.own_losses))
 
--- a/lacewingdock/components/suspects/crash_verdict.py
+++ b/lacewingdock/components/suspects/crash_verdict.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 from lacewingdock.components.suspects.const import LATE_READ_MARGIN_S
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 
 
 class Responder(StrEnum):
@@ -46,7 +46,9 @@
     UNKNOWN = "unknown"
 
 
-def judge_crash(instance: Instance | None, lost_at: float) -> CrashVerdict:
+def judge_crash(
+    instance: UpstreamInstance | None, lost_at: float
+) -> CrashVerdict:
     """Return whether an instance crashed when it lost a request.
 
     Args:
@@ -57,8 +59,8 @@
         return CrashVerdict.CRASHED
     if instance.answered_at >= lost_at:
         return CrashVerdict.SURVIVED
-    has_failed = instance.unreached_at >= lost_at
-    was_heard = instance.heard_at > lost_at + LATE_READ_MARGIN_S
-    if was_heard and instance.heard_at > instance.unreached_at:
+    has_failed = instance.connect_failed_at >= lost_at
+    was_heard = instance.last_received_at > lost_at + LATE_READ_MARGIN_S
+    if was_heard and instance.last_received_at > instance.connect_failed_at:
         return CrashVerdict.LIKELY_ALIVE
     return CrashVerdict.CRASHED if has_failed else CrashVerdict.UNKNOWN
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -37,7 +37,7 @@
 )
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.components.upstreams.sync import InstanceListener
 from lacewingdock.const import THREAD_STACK_BYTES
 from lacewingdock.daemons.router_announce import Announcer
@@ -360,7 +360,7 @@
     def _mirrors(self) -> dict[str, Mirror]:
         self.health = store_health(self._bounds, STEADY)
         listeners: dict[str, Listener] = {
-            KIND_CONFIGURATION: PerObjectListener(self.routes.take),
+            KIND_CONFIGURATION: PerObjectListener(self.routes.apply),
             KIND_INSTANCES: InstanceListener(self.directory),
             KIND_SHIFTS: PerObjectListener(self.shifts.take, self.shifts.drop),
             KIND_REPORTS: PerObjectListener(self.shifts.apply_stored_report),
@@ -384,7 +384,7 @@
             ),
         )
 
-    def _look_at(self, instance: Instance) -> AddressCheck:
+    def _look_at(self, instance: UpstreamInstance) -> AddressCheck:
         """Ask at an instance's address, naming it, whether it lives."""
         path = self.routes.health_path(instance.entry.service)
         return check_address(instance.entry, path)
@@ -409,7 +409,7 @@
         self.gateway.update_retry_terms(self._retry_terms())
 
     def _drop_lapsed(self) -> None:
-        self.directory.take_held()
+        self.directory.apply_held()
         if not self.health.doubtful:
             self.directory.drop_lapsed()
             self.cordons.settle()
--- a/tests/components/gateway/scripted.py
+++ b/tests/components/gateway/scripted.py
@@ -45,6 +45,6 @@
 class InterceptedPool:
     """A connection pool with another function for acquiring connections."""
 
-    def __init__(self, take, pool):
-        self.take = take
-        self.give_back = pool.give_back
+    def __init__(self, acquire, pool):
+        self.acquire = acquire
+        self.release = pool.release
--- a/tests/components/gateway/test_answer_news.py
+++ b/tests/components/gateway/test_answer_news.py
@@ -85,7 +85,7 @@
 )
 def test_refusal_or_other_instances_answer_ends_no_limit(step):
     harness = served(answer(extra=b"Server-Limit: 3\r\n"), step)
-    [signals] = harness.directory.signals.known.values()
+    [signals] = harness.directory.signals.by_incarnation.values()
     assert signals.limit.own_per_s == 3.0
 
 
--- a/tests/components/gateway/test_at_most_once.py
+++ b/tests/components/gateway/test_at_most_once.py
@@ -57,7 +57,7 @@
     harness.directory.remove("i-2", doubtful=False)
     if kept:
         assert harness.call(call_id="c-0")[0] == 200
-    harness.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
+    harness.directory.apply(upstreams[1].entry("i-2", failure_domain="d2"))
     status, headers, _ = harness.call(call_id="c-1")
     assert status in (502, 504)
     assert headers["attempt-id"] == "c-1"
@@ -77,7 +77,7 @@
 ):
     upstreams = [Upstream(RESPONSES[response]), Upstream()]
     harness = build_harness([route()], upstreams)
-    harness.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
+    harness.directory.apply(upstreams[1].entry("i-2", failure_domain="d2"))
     status, _, body = harness.call()
     assert (status, body) == (200, b"done")
     assert [len(u.requests) for u in upstreams] == [1, 1]
@@ -93,7 +93,7 @@
     harness = build_harness(
         [route(Repeat.ONCE, max_attempts=attempts)], upstreams
     )
-    harness.directory.take(upstreams[1].entry("i-2", failure_domain="d2"))
+    harness.directory.apply(upstreams[1].entry("i-2", failure_domain="d2"))
     found, headers, _ = harness.call()
     assert found == status
     assert sum(len(u.requests) for u in upstreams) == sent
@@ -104,7 +104,7 @@
 def test_unreached_upstream_is_no_attempt(build_harness):
     gone, live = Upstream(), Upstream()
     harness = build_harness([route(Repeat.ONCE, max_attempts=1)], [gone, live])
-    harness.directory.take(live.entry("i-2", failure_domain="d2"))
+    harness.directory.apply(live.entry("i-2", failure_domain="d2"))
     gone.close()
     assert harness.call()[0] == 200
 
--- a/tests/components/gateway/test_bad_input.py
+++ b/tests/components/gateway/test_bad_input.py
@@ -95,13 +95,13 @@
 
 def test_first_configuration_is_waited_for(harness):
     table, harness.routes.table = harness.routes.table, None
-    harness.routes.known.clear()
+    harness.routes.loaded.clear()
     try:
         status, _, body = harness.call()
         assert (status, b"not_ready" in body) == (503, True)
     finally:
         harness.routes.table = table
-        harness.routes.known.set()
+        harness.routes.loaded.set()
 
 
 def test_shut_port_refuses_what_it_reads(harness):
--- a/tests/components/gateway/test_leaving_instances.py
+++ b/tests/components/gateway/test_leaving_instances.py
@@ -65,7 +65,7 @@
     leaving, other = RepeatingUpstream(), RepeatingUpstream()
     harness = build_one_route(leaving, other)
     harness.directory.instances["i-2"].running = 50
-    connect = harness.gateway.pool.take
+    connect = harness.gateway.pool.acquire
 
     def slow(entry, timeout_s):
         if entry.id == "i-1":
--- a/tests/components/gateway/test_limited_instances.py
+++ b/tests/components/gateway/test_limited_instances.py
@@ -142,7 +142,7 @@
     harness.directory.instances["i-2"].running = 50
     limit = harness.directory.instances["i-1"].limit
     limit.own_per_s, limit.named_at = per_s, time.monotonic()
-    limit.settle()
+    limit.update_until()
     assert harness.call(extra="Model: *\r\n")[0] == 200
     [head] = instance.requests
     assert f"model: {model}" in head.lower()
@@ -170,7 +170,7 @@
     harness.directory.instances["i-2"].running = 50
     limit = harness.directory.instances["i-2"].limit
     limit.own_per_s, limit.named_at = 3.0, time.monotonic()
-    limit.settle()
+    limit.update_until()
     status, _, body = harness.call(extra="Model: *\r\n")
     assert (status, body) == (200, b"id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n")
     for upstream in (broken, limited):
--- a/tests/components/gateway/test_streams.py
+++ b/tests/components/gateway/test_streams.py
@@ -32,7 +32,7 @@
 
 def make_remote(harness, upstream, name="i-2"):
     """Move an instance to a remote domain, so that the first is preferred."""
-    harness.directory.take(upstream.entry(name, failure_domain="d2"))
+    harness.directory.apply(upstream.entry(name, failure_domain="d2"))
 
 
 # How the first instance's stream ends after its first event.
@@ -128,7 +128,7 @@
         entry = upstreams[number].entry(
             f"i-{number + 1}", failure_domain=domain
         )
-        harness.directory.take(entry)
+        harness.directory.apply(entry)
         harness.directory.instances[entry.id].running = number * 3
     assert harness.call(extra="Model: *\r\n", deadline_ms=3000)[2] == WHOLE
     assert [len(one.requests) for one in upstreams] == [1, 1, 1, 0]
--- a/tests/components/gateway/test_suspects.py
+++ b/tests/components/gateway/test_suspects.py
@@ -177,9 +177,9 @@
 
     __slots__ = ("meanwhile",)
 
-    def take(self, entry, timeout_s):
+    def acquire(self, entry, timeout_s):
         self.meanwhile()
-        return super().take(entry, timeout_s)
+        return super().acquire(entry, timeout_s)
 
 
 def test_waiting_request_is_not_sent_after_evidence(build_harness):
@@ -219,7 +219,7 @@
     harness = build_harness([route(Repeat.ONCE)], [upstream])
     instance = harness.directory.instances["i-1"]
     assert harness.call(body=b"any")[0] == 503
-    assert instance.heard_at == 0.0
+    assert instance.last_received_at == 0.0
     assert instance.answered_at < 0.0
 
 
--- a/tests/components/suspects/test_crash_verdict.py
+++ b/tests/components/suspects/test_crash_verdict.py
@@ -6,7 +6,7 @@
     CrashVerdict,
     judge_crash,
 )
-from lacewingdock.components.upstreams.instance import Instance
+from lacewingdock.components.upstreams.instance import UpstreamInstance
 from tests.components.suspects.fleet import entry
 
 LOST_AT = 100.0
@@ -19,22 +19,31 @@
         ({"answered_at": LOST_AT}, CrashVerdict.SURVIVED),
         # Sent before the loss: the instance may have ended since.
         ({"answered_at": LOST_AT - 0.01}, CrashVerdict.UNKNOWN),
-        ({"answered_at": LOST_AT + 1, "unreached_at": LOST_AT + 2}, "proved"),
-        ({"unreached_at": LOST_AT}, CrashVerdict.CRASHED),
-        ({"unreached_at": LOST_AT - 0.01}, CrashVerdict.UNKNOWN),
+        (
+            {"answered_at": LOST_AT + 1, "connect_failed_at": LOST_AT + 2},
+            "proved",
+        ),
+        ({"connect_failed_at": LOST_AT}, CrashVerdict.CRASHED),
+        ({"connect_failed_at": LOST_AT - 0.01}, CrashVerdict.UNKNOWN),
         # Bytes that arrived before the loss may be read a little after it.
-        ({"heard_at": LOST_AT + 0.05}, CrashVerdict.UNKNOWN),
-        ({"heard_at": LOST_AT + 0.2}, CrashVerdict.LIKELY_ALIVE),
+        ({"last_received_at": LOST_AT + 0.05}, CrashVerdict.UNKNOWN),
+        ({"last_received_at": LOST_AT + 0.2}, CrashVerdict.LIKELY_ALIVE),
         (
-            {"heard_at": LOST_AT + 0.2, "unreached_at": LOST_AT},
+            {"last_received_at": LOST_AT + 0.2, "connect_failed_at": LOST_AT},
             CrashVerdict.LIKELY_ALIVE,
         ),
         # A router without processor time may read bytes late.
-        ({"heard_at": LOST_AT + 0.2, "unreached_at": LOST_AT + 1}, "crashed"),
+        (
+            {
+                "last_received_at": LOST_AT + 0.2,
+                "connect_failed_at": LOST_AT + 1,
+            },
+            "crashed",
+        ),
     ],
 )
 def test_crash_verdict(signs, verdict):
-    instance = Instance(entry("i-1"))
+    instance = UpstreamInstance(entry("i-1"))
     for name, value in signs.items():
         setattr(instance, name, value)
     assert judge_crash(instance, LOST_AT) == verdict
