--- a/lacewingdock/components/gossip/__init__.py
+++ b/lacewingdock/components/gossip/__init__.py
@@ -29,7 +29,7 @@
 MAX_ROWS: Final = 96
 MAX_SESSIONS: Final = 64
 # Versions found bad at most: one a service, of far fewer services.
-MAX_BAD: Final = 64
+MAX_BAD_VERSIONS: Final = 64
 # Instances told of at most that were replaced: all of a fleet that lost power
 # are told of in several messages.
 MAX_REPLACED: Final = 128
@@ -46,7 +46,7 @@
 MAX_UNREAD: Final = 10**8
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
+class LoadRow(msgspec.Struct, array_like=True, frozen=True):
     """What a router has at an instance.
 
     Attributes:
@@ -64,7 +64,7 @@
     quiet_ms: int = -1
 
 
-class KeptSession(msgspec.Struct, array_like=True, frozen=True):
+class PinnedSession(msgspec.Struct, array_like=True, frozen=True):
     """A session that stays on an old version for a while.
 
     Attributes:
@@ -112,8 +112,8 @@
     router: str
     start: int
     number: int
-    rows: list[Row] = []
-    sessions: list[KeptSession] = []
+    rows: list[LoadRow] = []
+    sessions: list[PinnedSession] = []
     bad: list[tuple[str, str]] = []
     replaced: list[int] = []
     limits: list[LimitRow] = []
@@ -143,7 +143,7 @@
     found = decode_message(_DECODER, NAME, data)
     if len(found.rows) > MAX_ROWS or len(found.sessions) > MAX_SESSIONS:
         raise bad_message(NAME, "too long")
-    if len(found.bad) > MAX_BAD:
+    if len(found.bad) > MAX_BAD_VERSIONS:
         raise bad_message(NAME, "too many bad versions")
     if len(found.replaced) > MAX_REPLACED:
         raise bad_message(NAME, "too many replaced instances")
@@ -158,7 +158,7 @@
     return found
 
 
-def _is_load(row: Row) -> bool:
+def _is_load(row: LoadRow) -> bool:
     return 0 <= row.running <= MAX_RUNNING and 0 <= row.unread <= MAX_UNREAD
 
 
--- a/lacewingdock/components/gossip/limits.py
+++ b/lacewingdock/components/gossip/limits.py
@@ -5,7 +5,7 @@
 from lacewingdock.components.upstreams.limits import TOLD_S
 
 
-def limits_of(directory: Directory) -> list[LimitRow]:
+def limit_rows(directory: Directory) -> list[LimitRow]:
     """Return what instances told this router itself, the latest first.
 
     What it has of other routers it does not pass on: it would never end.
@@ -22,7 +22,7 @@
     return rows[:MAX_LIMITS]
 
 
-def hear_limits(directory: Directory, message: Message) -> None:
+def apply_limits(directory: Directory, message: Message) -> None:
     """Take which limits another router heard of."""
     now = directory.clock.now()
     for row in message.limits:
--- a/lacewingdock/components/gossip/load.py
+++ b/lacewingdock/components/gossip/load.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from typing import Final
 
-from lacewingdock.components.gossip import MAX_ROWS, STALE_S, Message, Row
+from lacewingdock.components.gossip import MAX_ROWS, STALE_S, LoadRow, Message
 from lacewingdock.components.upstreams.directory import Directory
 
 # What was silent for longer shows no life; waits for a sign of it are shorter.
-QUIET_MOST_MS: Final = 10_000
+MAX_QUIET_MS: Final = 10_000
 # Unread work counts thousands of tokens, in messages tens of them.
-UNREAD_UNIT: Final = 0.01
+UNREAD_UNIT_KTOKENS: Final = 0.01
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,14 +29,14 @@
     unread: float = 0.0
 
 
-NOTHING: Final = Work()
+NO_WORK: Final = Work()
 
 
 @dataclass(slots=True)
-class _Heard:
+class _RouterLoads:
     at: float
     order: tuple[int, int]
-    rows: list[Row]
+    rows: list[LoadRow]
 
 
 class FleetLoad:
@@ -50,15 +50,15 @@
 
     def __init__(self) -> None:
         """Start without having heard anything."""
-        self.routers: dict[str, _Heard] = {}
+        self.routers: dict[str, _RouterLoads] = {}
         self._sums: dict[int, Work] = {}
         self._lock = threading.Lock()
 
     def at(self, mark: int) -> Work:
         """Return what others have at the instance with a digest."""
-        return self._sums.get(mark, NOTHING)
+        return self._sums.get(mark, NO_WORK)
 
-    def hear(self, message: Message) -> None:
+    def update(self, message: Message) -> None:
         """Take what a router told; what it told before that is void."""
         order = (message.start, message.number)
         with self._lock:
@@ -67,47 +67,47 @@
                 if before.order >= order:
                     return
                 self._add(before.rows, -1)
-            self.routers[message.router] = _Heard(
+            self.routers[message.router] = _RouterLoads(
                 time.monotonic(), order, message.rows
             )
             self._add(message.rows, 1)
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Drop what is too old to count."""
         old = time.monotonic() - STALE_S
         with self._lock:
-            for name, heard in list(self.routers.items()):
-                if heard.at < old:
-                    self._add(heard.rows, -1)
+            for name, received in list(self.routers.items()):
+                if received.at < old:
+                    self._add(received.rows, -1)
                     del self.routers[name]
 
-    def _add(self, rows: list[Row], sign: int) -> None:
+    def _add(self, rows: list[LoadRow], sign: int) -> None:
         for row in rows:
-            known = self._sums.get(row.mark, NOTHING)
+            known = self._sums.get(row.mark, NO_WORK)
             running = known.running + sign * row.running
-            unread = known.unread + sign * row.unread * UNREAD_UNIT
+            unread = known.unread + sign * row.unread * UNREAD_UNIT_KTOKENS
             if running > 0:
                 self._sums[row.mark] = Work(running, max(unread, 0.0))
             else:
                 self._sums.pop(row.mark, None)
 
 
-def hear_life(directory: Directory, message: Message) -> None:
+def record_contacts(directory: Directory, message: Message) -> None:
     """Take which instances another router heard lately."""
     now = time.monotonic()
     for row in message.rows:
-        if 0 <= row.quiet_ms <= QUIET_MOST_MS:
+        if 0 <= row.quiet_ms <= MAX_QUIET_MS:
             directory.heard_by_other(row.mark, now - row.quiet_ms / 1000)
 
 
-def rows_of(directory: Directory) -> list[Row]:
+def load_rows(directory: Directory) -> list[LoadRow]:
     """Return what this router has at the instances, the most work first."""
     now = time.monotonic()
     rows = [
-        Row(
+        LoadRow(
             one.mark,
             one.running,
-            max(round(one.unread / UNREAD_UNIT), 0),
+            max(round(one.unread / UNREAD_UNIT_KTOKENS), 0),
             _quiet_ms(now - one.heard_at),
         )
         for one in list(directory.instances.values())
@@ -122,4 +122,4 @@
 def _quiet_ms(quiet_s: float) -> int:
     """Return for how long an instance was silent, rounded up."""
     quiet_ms = math.ceil(quiet_s * 1000)
-    return quiet_ms if 0 <= quiet_ms <= QUIET_MOST_MS else -1
+    return quiet_ms if 0 <= quiet_ms <= MAX_QUIET_MS else -1
--- a/lacewingdock/components/probes/__init__.py
+++ b/lacewingdock/components/probes/__init__.py
@@ -20,7 +20,7 @@
 from lacewingdock.helpers.datagrams import bad_message, decode_message
 
 
-class Question(msgspec.Struct, array_like=True, frozen=True, tag=1):
+class LoadQuery(msgspec.Struct, array_like=True, frozen=True, tag=1):
     """Asks a sidecar for its instance's load.
 
     Attributes:
@@ -47,7 +47,7 @@
     lost: bool = False
 
 
-class Promise(msgspec.Struct, array_like=True, frozen=True, tag=3):
+class RequestNotice(msgspec.Struct, array_like=True, frozen=True, tag=3):
     """Tells a sidecar that a request is about to come.
 
     Attributes:
@@ -59,7 +59,7 @@
     unread: float
 
 
-Message = Question | Load | Promise
+Message = LoadQuery | Load | RequestNotice
 
 _DECODER: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
@@ -78,10 +78,10 @@
     found = decode_message(_DECODER, NAME, data)
     if isinstance(found, Load) and found.running < 0:
         raise bad_message(NAME, "a load that no instance has")
-    if not isinstance(found, Question) and not _is_work(found.unread):
+    if not isinstance(found, LoadQuery) and not _is_token_count(found.unread):
         raise bad_message(NAME, "work that no request is")
     return found
 
 
-def _is_work(unread: float) -> bool:
+def _is_token_count(unread: float) -> bool:
     return math.isfinite(unread) and 0.0 <= unread <= MAX_UNREAD
--- a/lacewingdock/components/probes/gauge.py
+++ b/lacewingdock/components/probes/gauge.py
@@ -3,19 +3,19 @@
 import threading
 from dataclasses import dataclass
 
-from lacewingdock.components.probes import Load, Promise
+from lacewingdock.components.probes import Load, RequestNotice
 from lacewingdock.components.probes.const import (
-    MAX_PROMISES,
+    EXPECTED_TTL_S,
+    MAX_EXPECTED_REQUESTS,
+    MAX_REPORT_AGE_S,
     MAX_UNREAD,
-    PROMISE_S,
-    REPORT_LATE_S,
 )
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.world.engine_load import EngineLoad
 
 
 @dataclass(slots=True)
-class _Expected:
+class _ExpectedRequest:
     """A request that was promised.
 
     Attributes:
@@ -26,7 +26,7 @@
 
     unread: float
     until: float
-    came: bool = False
+    arrived: bool = False
 
 
 class EngineGauge:
@@ -45,33 +45,33 @@
         self.clock = clock
         self.report: EngineLoad | None = None
         self.read_at = 0.0
-        self._expected: dict[str, _Expected] = {}
+        self._expected: dict[str, _ExpectedRequest] = {}
         self._lock = threading.Lock()
 
     def load(self, number: int) -> Load:
         """Return the answer to a question."""
         now = self.clock.now()
         with self._lock:
-            if self.report is None or now - self.read_at > REPORT_LATE_S:
+            if self.report is None or now - self.read_at > MAX_REPORT_AGE_S:
                 return Load(number, 0, 0.0, lost=True)
             known = list(self._expected.values())
-            coming = sum(not one.came and one.until >= now for one in known)
+            coming = sum(not one.arrived and one.until >= now for one in known)
             unread = sum(
-                one.unread for one in known if one.came or one.until >= now
+                one.unread for one in known if one.arrived or one.until >= now
             )
             running = self.report.running + self.report.waiting + coming
         return Load(number, running, min(unread, MAX_UNREAD))
 
-    def promise(self, promise: Promise) -> None:
+    def expect(self, notice: RequestNotice) -> None:
         """Expect a request; it counts until it comes, or for a moment."""
-        until = self.clock.now() + PROMISE_S
+        until = self.clock.now() + EXPECTED_TTL_S
         with self._lock:
-            if len(self._expected) < MAX_PROMISES:
-                self._expected[promise.request] = _Expected(
-                    promise.unread, until
+            if len(self._expected) < MAX_EXPECTED_REQUESTS:
+                self._expected[notice.request] = _ExpectedRequest(
+                    notice.unread, until
                 )
 
-    def take(self, report: EngineLoad | None, asked_at: float) -> None:
+    def update(self, report: EngineLoad | None, asked_at: float) -> None:
         """Take a report, or that there is none.
 
         Args:
@@ -87,7 +87,7 @@
             for request, one in list(self._expected.items()):
                 events = report.events.get(request)
                 if events is not None:
-                    one.came = True
+                    one.arrived = True
                     one.unread = 0.0 if events else one.unread
-                elif one.came or one.until < now:
+                elif one.arrived or one.until < now:
                     del self._expected[request]
--- a/lacewingdock/components/probes/port.py
+++ b/lacewingdock/components/probes/port.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 
 from lacewingdock.components.probes import (
-    Promise,
-    Question,
+    LoadQuery,
+    RequestNotice,
     decode,
     encode,
 )
@@ -45,13 +45,13 @@
 
     def listen(self, stopping: threading.Event) -> None:
         """Answer until the daemon stops."""
-        self.datagrams.listen(self._take, stopping)
+        self.datagrams.listen(self._receive, stopping)
 
     def close(self) -> None:
         """Close the port."""
         self.datagrams.close()
 
-    def _take(self, data: bytes, sender: tuple[str, int]) -> None:
+    def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
         """Take a message of a router.
 
         Whoever reaches the port could else keep work from the engine.
@@ -63,11 +63,11 @@
         if not self.is_router(sender[0]):
             raise bad_message(NAME, "not from a router")
         match message:
-            case Question(number):
+            case LoadQuery(number):
                 answer = encode(self.gauge.load(number))
                 self.datagrams.send(answer, sender)
-            case Promise():
-                self.gauge.promise(message)
+            case RequestNotice():
+                self.gauge.expect(message)
                 self.promised += 1
             case _:
                 raise bad_message(NAME, "an answer nobody asked for")
--- a/lacewingdock/components/probes/prober.py
+++ b/lacewingdock/components/probes/prober.py
@@ -7,24 +7,24 @@
 
 from lacewingdock.components.probes import (
     Load,
-    Promise,
-    Question,
+    LoadQuery,
+    RequestNotice,
     decode,
     encode,
 )
 from lacewingdock.components.probes.const import (
+    ANSWER_TIMEOUT_S,
     MAX_BYTES,
+    MAX_SILENT_BACKOFF_S,
     NAME,
-    SILENT_MOST_S,
-    SILENT_S,
-    WAIT_S,
+    SILENT_BACKOFF_S,
 )
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.datagrams import DatagramPort, bad_message
 
 
 @dataclass(slots=True)
-class _Asked:
+class _PendingQuery:
     """A question that waits for its answers.
 
     Attributes:
@@ -35,11 +35,11 @@
 
     hosts: Collection[str]
     loads: dict[str, Load] = field(default_factory=dict)
-    whole: threading.Event = field(default_factory=threading.Event)
+    complete: threading.Event = field(default_factory=threading.Event)
 
 
 @dataclass(slots=True)
-class _Silent:
+class _SilentHost:
     """A host that did not answer.
 
     Attributes:
@@ -48,7 +48,7 @@
     """
 
     until: float
-    rest_s: float
+    backoff_s: float
 
 
 class Prober:
@@ -63,10 +63,10 @@
     """
 
     __slots__ = (
+        "_last_number",
         "_lock",
-        "_numbers",
+        "_pending",
         "_silent",
-        "_waiting",
         "answered",
         "asked",
         "clock",
@@ -97,45 +97,47 @@
         self.clock = clock
         self.asked = 0
         self.answered = 0
-        self._numbers = source.randrange(2**31)
-        self._waiting: dict[int, _Asked] = {}
-        self._silent: dict[str, _Silent] = {}
+        self._last_number = source.randrange(2**31)
+        self._pending: dict[int, _PendingQuery] = {}
+        self._silent: dict[str, _SilentHost] = {}
         self._lock = threading.Lock()
 
     def ask(self, hosts: Collection[str]) -> dict[str, Load]:
         """Return the loads of those that answer in time, by host."""
         now = self.clock.now()
         with self._lock:
-            asked = _Asked([one for one in hosts if self._is_due(one, now)])
+            asked = _PendingQuery(
+                [one for one in hosts if self._is_due(one, now)]
+            )
             if not asked.hosts:
                 return {}
-            self._numbers += 1
-            number = self._numbers
-            self._waiting[number] = asked
+            self._last_number += 1
+            number = self._last_number
+            self._pending[number] = asked
             self.asked += len(asked.hosts)
-        data = encode(Question(number))
+        data = encode(LoadQuery(number))
         for host in asked.hosts:
             self.datagrams.send(data, (host, self.port))
-        asked.whole.wait(WAIT_S)
+        asked.complete.wait(ANSWER_TIMEOUT_S)
         with self._lock:
-            del self._waiting[number]
-            self._count(asked, now)
+            del self._pending[number]
+            self._record_answers(asked, now)
             return dict(asked.loads)
 
-    def promise(self, host: str, request: str, unread: float) -> None:
+    def announce(self, host: str, request: str, unread: float) -> None:
         """Tell a host's sidecar that a request is about to come."""
-        data = encode(Promise(request, unread))
+        data = encode(RequestNotice(request, unread))
         self.datagrams.send(data, (host, self.port))
 
     def listen(self, stopping: threading.Event) -> None:
         """Take answers until the daemon stops."""
-        self.datagrams.listen(self._take, stopping)
+        self.datagrams.listen(self._receive, stopping)
 
     def close(self) -> None:
         """Close the port."""
         self.datagrams.close()
 
-    def _take(self, data: bytes, sender: tuple[str, int]) -> None:
+    def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
         """Take an answer, from whom a question went to only.
 
         Raises:
@@ -146,19 +148,19 @@
             raise bad_message(NAME, "no answer")
         host = sender[0]
         with self._lock:
-            asked = self._waiting.get(found.number)
+            asked = self._pending.get(found.number)
             if asked is None or host not in asked.hosts:
                 # It came late, which is no fault.
                 return
             asked.loads[host] = found
             if len(asked.loads) == len(asked.hosts):
-                asked.whole.set()
+                asked.complete.set()
 
     def _is_due(self, host: str, now: float) -> bool:
         silent = self._silent.get(host)
         return silent is None or silent.until <= now
 
-    def _count(self, asked: _Asked, now: float) -> None:
+    def _record_answers(self, asked: _PendingQuery, now: float) -> None:
         """Note who answered and who did not."""
         self.answered += len(asked.loads)
         for host in asked.hosts:
@@ -166,6 +168,8 @@
                 self._silent.pop(host, None)
                 continue
             before = self._silent.get(host)
-            rest_s = SILENT_S if before is None else 2 * before.rest_s
-            rest_s = min(rest_s, SILENT_MOST_S)
-            self._silent[host] = _Silent(now + rest_s, rest_s)
+            backoff_s = (
+                SILENT_BACKOFF_S if before is None else 2 * before.backoff_s
+            )
+            backoff_s = min(backoff_s, MAX_SILENT_BACKOFF_S)
+            self._silent[host] = _SilentHost(now + backoff_s, backoff_s)
--- a/lacewingdock/components/probes/routers.py
+++ b/lacewingdock/components/probes/routers.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from lacewingdock.components.probes.const import KNOWN_MOST_S
+from lacewingdock.components.probes.const import MAX_ROUTERS_AGE_S
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.platform.object_api import ObjectApi
@@ -14,7 +14,7 @@
 log = get_logger("probes")
 
 
-class KnownRouters:
+class RouterAddresses:
     """The routers' IP numbers, by the platform's entries.
 
     Attributes:
@@ -24,21 +24,21 @@
         read_at: When they were read.
     """
 
-    __slots__ = ("api", "hosts", "read_at", "unknown")
+    __slots__ = ("api", "hosts", "read_at", "refresh_due")
 
     def __init__(self, api: ObjectApi) -> None:
         """Know nobody yet."""
         self.api = api
         self.hosts: frozenset[str] = frozenset()
-        self.unknown = threading.Event()
-        self.unknown.set()
+        self.refresh_due = threading.Event()
+        self.refresh_due.set()
         self.read_at = 0.0
 
-    def is_one(self, host: str) -> bool:
+    def is_router(self, host: str) -> bool:
         """Whether a router is at an IP number."""
         if host in self.hosts:
             return True
-        self.unknown.set()
+        self.refresh_due.set()
         return False
 
     def refresh(self) -> None:
@@ -47,25 +47,25 @@
         A list that may be seconds behind costs a tenth, and a router that is
         not known yet goes by what it sees itself.
         """
-        is_due = time.monotonic() - self.read_at > KNOWN_MOST_S
-        if not (self.unknown.is_set() or is_due):
+        is_due = time.monotonic() - self.read_at > MAX_ROUTERS_AGE_S
+        if not (self.refresh_due.is_set() or is_due):
             return
-        self.unknown.clear()
+        self.refresh_due.clear()
         try:
             found = self.api.list_kind(KIND_ROUTERS, "list-routers", stale=True)
         except LacewingdockError as error:
-            self.unknown.set()
+            self.refresh_due.set()
             log.info("routers not read", error=str(error))
             return
         self.read_at = time.monotonic()
         self.hosts = frozenset(
             host
             for one in found.objects.values()
-            if (host := _host(one.spec)) is not None
+            if (host := _address_of(one.spec)) is not None
         )
 
 
-def _host(spec: object) -> str | None:
+def _address_of(spec: object) -> str | None:
     """Return the IP number of an entry; None where it is none."""
     try:
         return host_of(msgspec.convert(spec, RouterEntry).address)
--- a/lacewingdock/components/relay/__init__.py
+++ b/lacewingdock/components/relay/__init__.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from lacewingdock.components.relay.const import MAX_KINDS, MAX_MS, NAME
+from lacewingdock.components.relay.const import MAX_AGE_MS, MAX_KINDS, NAME
 from lacewingdock.helpers.datagrams import bad_message, decode_message
 
 
-class Question(msgspec.Struct, array_like=True, frozen=True, tag=1):
+class FreshnessQuery(msgspec.Struct, array_like=True, frozen=True, tag=1):
     """Asks a router how young its copies are.
 
     Attributes:
@@ -47,7 +47,7 @@
     age_ms: int
 
 
-class Voucher(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class FreshnessReport(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """Says how young a router's copies are.
 
     Attributes:
@@ -65,37 +65,37 @@
     doubt_ms: int = 0
 
 
-_DECODER: msgspec.msgpack.Decoder[Question | Voucher] = msgspec.msgpack.Decoder(
-    Question | Voucher
+_DECODER: msgspec.msgpack.Decoder[FreshnessQuery | FreshnessReport] = (
+    msgspec.msgpack.Decoder(FreshnessQuery | FreshnessReport)
 )
 
 
-def mark_of(kind: str) -> int:
+def kind_digest(kind: str) -> int:
     """Return the digest by which messages name a kind."""
     return zlib.crc32(kind.encode())
 
 
-def encode(message: Question | Voucher) -> bytes:
+def encode(message: FreshnessQuery | FreshnessReport) -> bytes:
     """Return a message as a datagram."""
     return msgspec.msgpack.encode(message)
 
 
-def decode(data: bytes) -> Question | Voucher:
+def decode(data: bytes) -> FreshnessQuery | FreshnessReport:
     """Decode a datagram.
 
     Raises:
         LacewingdockError: BAD_REQUEST.
     """
     found = decode_message(_DECODER, NAME, data)
-    if isinstance(found, Voucher) and not _is_sound(found):
+    if isinstance(found, FreshnessReport) and not _is_valid(found):
         raise bad_message(NAME, "a state that no copy has")
     return found
 
 
-def _is_sound(voucher: Voucher) -> bool:
-    if len(voucher.kinds) > MAX_KINDS or not 0 <= voucher.doubt_ms <= MAX_MS:
+def _is_valid(report: FreshnessReport) -> bool:
+    if len(report.kinds) > MAX_KINDS or not 0 <= report.doubt_ms <= MAX_AGE_MS:
         return False
     return all(
-        0 <= one.age_ms <= MAX_MS and 0 <= one.changed <= one.revision
-        for one in voucher.kinds
+        0 <= one.age_ms <= MAX_AGE_MS and 0 <= one.changed <= one.revision
+        for one in report.kinds
     )
--- a/lacewingdock/components/relay/follower.py
+++ b/lacewingdock/components/relay/follower.py
@@ -10,24 +10,24 @@
 from lacewingdock.components.mirror import Mirror
 from lacewingdock.components.mirror.copies import Copy
 from lacewingdock.components.relay import (
+    FreshnessQuery,
+    FreshnessReport,
     KindState,
-    Question,
-    Voucher,
-    mark_of,
+    kind_digest,
 )
 from lacewingdock.components.relay.const import (
-    ANSWER_WITHIN_S,
-    ASKED_S,
-    AWAY_S,
-    HEARD_S,
-    LEFT_ALONE_S,
-    LOOK_S,
-    MISSED,
-    SERVED_S,
-    SPREAD,
-    WATCHERS,
+    ANSWER_TIMEOUT_S,
+    LISTENER_TTL_S,
+    MAX_MISSED_ANSWERS,
+    MIN_LIMIT_PART,
+    RECHECK_S,
+    SILENT_WATCHER_PAUSE_S,
+    STORE_ANSWERED_TTL_S,
+    STORE_AWAY_TTL_S,
+    WATCHER_TIMEOUT_S,
+    WATCHERS_PER_GROUP,
 )
-from lacewingdock.components.relay.watchers import ranking
+from lacewingdock.components.relay.watchers import rank_watchers
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class _Watcher:
+class _WatcherState:
     """A router that is asked.
 
     Attributes:
@@ -51,7 +51,7 @@
     number: int = 0
     asked_at: float = 0.0
     missed: int = 0
-    left_until: float = 0.0
+    paused_until: float = 0.0
 
 
 class Follower:
@@ -74,32 +74,32 @@
     """
 
     __slots__ = (
-        "_away_until",
-        "_back_at",
+        "_answered_at",
+        "_confirmed_at",
+        "_doubt_began_at",
         "_doubt_until",
-        "_doubted_at",
-        "_from_store",
-        "_heard_at",
+        "_last_number",
+        "_limit_part",
         "_lock",
-        "_numbers",
+        "_pending_fetches",
         "_ranked_names",
         "_ranking",
-        "_served_at",
-        "_spread",
-        "_sure_at",
-        "_wanted",
+        "_store_answered_at",
+        "_store_away_until",
+        "_store_back_at",
+        "_store_only",
         "_watchers",
         "asked",
-        "asked_until",
         "clock",
         "fetch",
         "fetches",
-        "leads",
+        "is_watcher",
         "limit_s",
         "mirrors",
         "name",
         "names",
-        "news",
+        "updates",
+        "watch_until",
     )
 
     def __init__(
@@ -119,27 +119,27 @@
         self.fetch = fetch
         self.limit_s = limit_s
         self.clock = clock
-        self.news = threading.Event()
+        self.updates = threading.Event()
         self.asked = ""
-        self.asked_until = NEVER
-        self.leads = True
+        self.watch_until = NEVER
+        self.is_watcher = True
         self.fetches = 0
         # Routers whose copies grow too old at the same moment ask the store
         # one after the other.
-        self._spread = source.uniform(SPREAD, 1.0)
-        self._watchers: dict[str, _Watcher] = {}
-        self._wanted: dict[str, str] = {}
-        self._numbers = source.randrange(2**31)
+        self._limit_part = source.uniform(MIN_LIMIT_PART, 1.0)
+        self._watchers: dict[str, _WatcherState] = {}
+        self._pending_fetches: dict[str, str] = {}
+        self._last_number = source.randrange(2**31)
         self._ranked_names: frozenset[str] = frozenset()
         self._ranking: list[str] = []
-        self._from_store: dict[str, int] = {}
-        self._heard_at = NEVER
-        self._sure_at: dict[str, float] = {}
-        self._served_at = NEVER
-        self._away_until = NEVER
-        self._back_at = NEVER
+        self._store_only: dict[str, int] = {}
+        self._answered_at = NEVER
+        self._confirmed_at: dict[str, float] = {}
+        self._store_answered_at = NEVER
+        self._store_away_until = NEVER
+        self._store_back_at = NEVER
         self._doubt_until = NEVER
-        self._doubted_at = NEVER
+        self._doubt_began_at = NEVER
         self._lock = threading.Lock()
 
     def kept_s(self, kind: str) -> float:
@@ -149,24 +149,24 @@
             Seconds; 0 where this router must ask the store itself.
         """
         now = self.clock.now()
-        limit_s = self.limit_s(kind) * self._spread
+        limit_s = self.limit_s(kind) * self._limit_part
         if self.watches or limit_s <= 0.0 or self.doubtful:
             return 0.0
-        if now - self._heard_at > HEARD_S:
+        if now - self._answered_at > WATCHER_TIMEOUT_S:
             return 0.0
         if self._waits_for_store(kind):
             return 0.0
         rest_s = self.mirrors[kind].as_of + limit_s - now
-        return min(max(rest_s, 0.0), LOOK_S)
+        return min(max(rest_s, 0.0), RECHECK_S)
 
     def _waits_for_store(self, kind: str) -> bool:
         """Whether there are news that are too long to be passed on."""
-        after = self._from_store.get(kind)
+        after = self._store_only.get(kind)
         if after is None:
             return False
         mirror = self.mirrors[kind]
         if (mirror.revision or 0) > after:
-            del self._from_store[kind]
+            del self._store_only[kind]
             return False
         # They are there, so a watch that may wait ends at once, and has the
         # time that they take on the way.
@@ -176,7 +176,7 @@
     @property
     def watches(self) -> bool:
         """Whether this router watches for others, or for want of watchers."""
-        return self.leads or self.clock.now() < self.asked_until
+        return self.is_watcher or self.clock.now() < self.watch_until
 
     @property
     def doubtful(self) -> bool:
@@ -188,13 +188,16 @@
         now = self.clock.now()
         # A word from before the doubt began may come from a watcher that has
         # not noticed the outage yet.
-        sure_from = max(now - HEARD_S, self._doubted_at)
-        if any(at >= sure_from for at in list(self._sure_at.values())):
+        sure_from = max(now - WATCHER_TIMEOUT_S, self._doubt_began_at)
+        if any(at >= sure_from for at in list(self._confirmed_at.values())):
             return False
-        is_away = now < self._away_until and now - self._served_at > SERVED_S
+        is_away = (
+            now < self._store_away_until
+            and now - self._store_answered_at > STORE_ANSWERED_TTL_S
+        )
         return is_away or now < self._doubt_until
 
-    def spared(self, called_at: float) -> bool:
+    def defers_to_watchers(self, called_at: float) -> bool:
         """Whether watchers find out whether the store answers again.
 
         Once it does for them, each router asks it once. One that it turns
@@ -204,56 +207,56 @@
             called_at: When this router asked it last.
         """
         now = self.clock.now()
-        if self.watches or now - self._heard_at > HEARD_S:
+        if self.watches or now - self._answered_at > WATCHER_TIMEOUT_S:
             return False
-        return now < self._away_until or called_at > self._back_at
+        return now < self._store_away_until or called_at > self._store_back_at
 
-    def question(self) -> tuple[str, Question] | None:
+    def query(self) -> tuple[str, FreshnessQuery] | None:
         """Return whom to ask now, and what; None where this router watches."""
         now = self.clock.now()
         with self._lock:
-            self._count_missed(now)
-            chosen = self._chosen(now)
+            self._expire_queries(now)
+            chosen = self._choose_watcher(now)
             if chosen is None:
                 return None
-            self._numbers += 1
+            self._last_number += 1
             self.asked = chosen
-            watcher = self._watchers.setdefault(chosen, _Watcher())
-            watcher.number = self._numbers
+            watcher = self._watchers.setdefault(chosen, _WatcherState())
+            watcher.number = self._last_number
             watcher.asked_at = now
-            return chosen, Question(self.name, self._numbers)
+            return chosen, FreshnessQuery(self.name, self._last_number)
 
-    def hear(self, voucher: Voucher) -> None:
+    def receive_report(self, report: FreshnessReport) -> None:
         """Take a watcher's answer, or its unasked news."""
-        if not voucher.number:
-            self._want(voucher)
+        if not report.number:
+            self._fetch_missing(report)
             return
         with self._lock:
-            watcher = self._watchers.get(voucher.router)
-            if watcher is None or watcher.number != voucher.number:
+            watcher = self._watchers.get(report.router)
+            if watcher is None or watcher.number != report.number:
                 return
             if not watcher.asked_at:
                 return
             asked_at, watcher.asked_at = watcher.asked_at, 0.0
             watcher.missed = 0
-        self._heard_at = asked_at
-        self._hear_doubt(voucher, asked_at)
-        if not voucher.away:
-            self._vouch(voucher, asked_at)
+        self._answered_at = asked_at
+        self._apply_store_state(report, asked_at)
+        if not report.away:
+            self._apply_freshness(report, asked_at)
 
-    def heard_of(self) -> None:
+    def record_query(self) -> None:
         """Note that another router counts on this one to watch."""
-        self.asked_until = self.clock.now() + ASKED_S
+        self.watch_until = self.clock.now() + LISTENER_TTL_S
 
-    def store_answered(self) -> None:
+    def record_store_answer(self) -> None:
         """Note that the store answers this router."""
-        self._served_at = self.clock.now()
+        self._store_answered_at = self.clock.now()
 
-    def fetch_news(self) -> None:
+    def fetch_changes(self) -> None:
         """Fetch what watchers told of."""
-        self.news.clear()
+        self.updates.clear()
         with self._lock:
-            wanted, self._wanted = self._wanted, {}
+            wanted, self._pending_fetches = self._pending_fetches, {}
         for kind, router in wanted.items():
             self._fetch(kind, router)
 
@@ -269,105 +272,113 @@
             # The next answer has it fetched again, or the copy grows too old.
             return
         if not copy.sure:
-            self._doubt(router, asked_at)
-            self._doubt_until = max(self._doubt_until, asked_at + AWAY_S)
+            self._record_doubt(router, asked_at)
+            self._doubt_until = max(
+                self._doubt_until, asked_at + STORE_AWAY_TTL_S
+            )
         if copy.too_long:
-            self._from_store[kind] = after
+            self._store_only[kind] = after
             return
         mirror.take_news(copy, after, asked_at)
 
-    def _chosen(self, now: float) -> str | None:
+    def _choose_watcher(self, now: float) -> str | None:
         """Return the watcher to ask next; None where this router is one."""
         watchers: list[str] = []
         for name in self._ranked():
             known = self._watchers.get(name)
-            if known is not None and known.left_until > now:
+            if known is not None and known.paused_until > now:
                 continue
             watchers.append(name)
-            if len(watchers) == WATCHERS:
+            if len(watchers) == WATCHERS_PER_GROUP:
                 break
-        self._lead(self.name in watchers)
-        if self.leads or not watchers:
+        self._set_is_watcher(self.name in watchers)
+        if self.is_watcher or not watchers:
             return None
-        return watchers[self._numbers % len(watchers)]
+        return watchers[self._last_number % len(watchers)]
 
     def _ranked(self) -> list[str]:
         """Return the ranking, which takes 1.6 ms anew at 1,200 routers."""
         names = frozenset(self.names())
         if names != self._ranked_names:
             self._ranked_names = names
-            self._ranking = ranking(names, self.name)
+            self._ranking = rank_watchers(names, self.name)
         return self._ranking
 
-    def _lead(self, leads: bool) -> None:
-        if leads != self.leads:
-            self.leads = leads
+    def _set_is_watcher(self, is_watcher: bool) -> None:
+        if is_watcher != self.is_watcher:
+            self.is_watcher = is_watcher
             log.info(
-                "watches" if leads else "follows",
+                "watches" if is_watcher else "follows",
                 routers=len(self._ranked_names),
             )
 
-    def _count_missed(self, now: float) -> None:
+    def _expire_queries(self, now: float) -> None:
         """Leave those alone that do not answer."""
         for name, watcher in self._watchers.items():
             if not watcher.asked_at:
                 continue
-            if now - watcher.asked_at < ANSWER_WITHIN_S:
+            if now - watcher.asked_at < ANSWER_TIMEOUT_S:
                 continue
             watcher.asked_at = 0.0
             watcher.missed += 1
-            if watcher.missed >= MISSED:
+            if watcher.missed >= MAX_MISSED_ANSWERS:
                 watcher.missed = 0
-                watcher.left_until = now + LEFT_ALONE_S
+                watcher.paused_until = now + SILENT_WATCHER_PAUSE_S
                 log.info("watcher silent", watcher=name)
 
-    def _hear_doubt(self, voucher: Voucher, asked_at: float) -> None:
+    def _apply_store_state(
+        self, report: FreshnessReport, asked_at: float
+    ) -> None:
         """Take whether the store answers a watcher, by its last word."""
-        if not voucher.away and not voucher.doubt_ms:
-            self._sure_at[voucher.router] = asked_at
-            if asked_at < self._away_until:
-                self._back_at = self.clock.now()
-            self._away_until = NEVER
+        if not report.away and not report.doubt_ms:
+            self._confirmed_at[report.router] = asked_at
+            if asked_at < self._store_away_until:
+                self._store_back_at = self.clock.now()
+            self._store_away_until = NEVER
             return
-        self._doubt(voucher.router, asked_at)
-        if voucher.away:
-            self._away_until = asked_at + AWAY_S
+        self._record_doubt(report.router, asked_at)
+        if report.away:
+            self._store_away_until = asked_at + STORE_AWAY_TTL_S
         else:
-            doubt_s = voucher.doubt_ms / 1000
+            doubt_s = report.doubt_ms / 1000
             self._doubt_until = max(self._doubt_until, asked_at + doubt_s)
 
-    def _doubt(self, router: str, at: float) -> None:
+    def _record_doubt(self, router: str, at: float) -> None:
         """Note that a watcher doubts, and when it began to."""
-        if self._sure_at.pop(router, None) is not None:
-            self._doubted_at = at
+        if self._confirmed_at.pop(router, None) is not None:
+            self._doubt_began_at = at
 
-    def _vouch(self, voucher: Voucher, asked_at: float) -> None:
+    def _apply_freshness(
+        self, report: FreshnessReport, asked_at: float
+    ) -> None:
         """Take the ages of a watcher's copies."""
-        for kind, state in self._states(voucher):
+        for kind, state in self._states_by_kind(report):
             as_of = asked_at - state.age_ms / 1000
             if not self.mirrors[kind].vouch(
                 state.changed, state.revision, as_of
             ):
-                self._fetch_later(kind, voucher.router)
+                self._fetch_later(kind, report.router)
 
-    def _want(self, voucher: Voucher) -> None:
+    def _fetch_missing(self, report: FreshnessReport) -> None:
         """Have fetched what a watcher has and this router lacks."""
-        for kind, state in self._states(voucher):
+        for kind, state in self._states_by_kind(report):
             if state.changed > (self.mirrors[kind].revision or 0):
-                self._fetch_later(kind, voucher.router)
+                self._fetch_later(kind, report.router)
 
-    def _states(self, voucher: Voucher) -> list[tuple[str, KindState]]:
+    def _states_by_kind(
+        self, report: FreshnessReport
+    ) -> list[tuple[str, KindState]]:
         """Return what a message says of the kinds that are mirrored here."""
-        states = {one.mark: one for one in voucher.kinds}
+        states = {one.mark: one for one in report.kinds}
         return [
             (kind, states[mark])
             for kind in self.mirrors
-            if (mark := mark_of(kind)) in states
+            if (mark := kind_digest(kind)) in states
         ]
 
     def _fetch_later(self, kind: str, router: str) -> None:
-        if kind in self._from_store:
+        if kind in self._store_only:
             return
         with self._lock:
-            self._wanted[kind] = router
-        self.news.set()
+            self._pending_fetches[kind] = router
+        self.updates.set()
--- a/lacewingdock/components/relay/port.py
+++ b/lacewingdock/components/relay/port.py
@@ -4,12 +4,16 @@
 from collections.abc import Callable
 
 from lacewingdock.components.relay import (
-    Question,
-    Voucher,
+    FreshnessQuery,
+    FreshnessReport,
     decode,
     encode,
 )
-from lacewingdock.components.relay.const import ASK_S, MAX_BYTES, NAME
+from lacewingdock.components.relay.const import (
+    MAX_BYTES,
+    NAME,
+    QUERY_INTERVAL_S,
+)
 from lacewingdock.components.relay.follower import Follower
 from lacewingdock.components.relay.watcher import Watcher
 from lacewingdock.helpers.clock import STEADY
@@ -53,30 +57,30 @@
 
     def listen(self, stopping: threading.Event) -> None:
         """Take messages until the daemon stops."""
-        self.datagrams.listen(self._take, stopping)
+        self.datagrams.listen(self._receive, stopping)
 
-    def ask(self, stopping: threading.Event) -> None:
+    def send_queries(self, stopping: threading.Event) -> None:
         """Ask and fetch until the daemon stops."""
         clock = STEADY
         due = clock.now()
         while not stopping.is_set():
-            clock.wait(self.follower.news, max(due - clock.now(), 0.0))
+            clock.wait(self.follower.updates, max(due - clock.now(), 0.0))
             try:
-                self.follower.fetch_news()
+                self.follower.fetch_changes()
                 if clock.now() >= due:
-                    due = clock.now() + ASK_S
-                    self._ask()
+                    due = clock.now() + QUERY_INTERVAL_S
+                    self._send_query()
             except Exception:
                 # A task that died unseen would leave this router to the store.
                 log.exception("not asked")
-                due = clock.now() + ASK_S
+                due = clock.now() + QUERY_INTERVAL_S
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Tell those that asked lately that there is news."""
         listeners = self.watcher.listeners()
         if not listeners:
             return
-        data = encode(self.watcher.news())
+        data = encode(self.watcher.updates())
         for router in listeners:
             self._send(router, data)
 
@@ -84,13 +88,13 @@
         """Close the port."""
         self.datagrams.close()
 
-    def _ask(self) -> None:
-        found = self.follower.question()
+    def _send_query(self) -> None:
+        found = self.follower.query()
         if found is not None:
-            router, question = found
-            self._send(router, encode(question))
+            router, query = found
+            self._send(router, encode(query))
 
-    def _take(self, data: bytes, sender: tuple[str, int]) -> None:
+    def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
         """Take a message from the router that it names.
 
         Whoever reaches the port could else keep a router from news.
@@ -102,12 +106,12 @@
         if self.host_of(message.router) != sender[0]:
             raise not_from(NAME, message.router)
         match message:
-            case Question(router, number):
-                self.follower.heard_of()
+            case FreshnessQuery(router, number):
+                self.follower.record_query()
                 answer = self.watcher.answer(router, number)
                 self._send(router, encode(answer))
-            case Voucher():
-                self.follower.hear(message)
+            case FreshnessReport():
+                self.follower.receive_report(message)
 
     def _send(self, router: str, data: bytes) -> None:
         host = self.host_of(router)
--- a/lacewingdock/components/relay/watcher.py
+++ b/lacewingdock/components/relay/watcher.py
@@ -6,8 +6,12 @@
 
 from lacewingdock.components.mirror import Mirror
 from lacewingdock.components.mirror.health import StoreHealth
-from lacewingdock.components.relay import KindState, Voucher, mark_of
-from lacewingdock.components.relay.const import ASKED_S, MAX_MS
+from lacewingdock.components.relay import (
+    FreshnessReport,
+    KindState,
+    kind_digest,
+)
+from lacewingdock.components.relay.const import LISTENER_TTL_S, MAX_AGE_MS
 from lacewingdock.helpers.clock import STEADY, Clock
 
 
@@ -22,7 +26,7 @@
         askers: When each router asked last.
     """
 
-    __slots__ = ("_lock", "askers", "clock", "health", "mirrors", "name")
+    __slots__ = ("_lock", "clock", "health", "last_query_at", "mirrors", "name")
 
     def __init__(
         self,
@@ -36,41 +40,43 @@
         self.mirrors = mirrors
         self.health = health
         self.clock = clock
-        self.askers: dict[str, float] = {}
+        self.last_query_at: dict[str, float] = {}
         self._lock = threading.Lock()
 
-    def answer(self, router: str, number: int) -> Voucher:
+    def answer(self, router: str, number: int) -> FreshnessReport:
         """Return the answer to a router's question."""
         with self._lock:
-            self.askers[router] = self.clock.now()
-        return self._voucher(number)
+            self.last_query_at[router] = self.clock.now()
+        return self._report(number)
 
     def listeners(self) -> list[str]:
         """Return the routers that are told news unasked."""
-        since = self.clock.now() - ASKED_S
+        since = self.clock.now() - LISTENER_TTL_S
         with self._lock:
-            self.askers = {
-                name: at for name, at in self.askers.items() if at >= since
+            self.last_query_at = {
+                name: at
+                for name, at in self.last_query_at.items()
+                if at >= since
             }
-            return list(self.askers)
+            return list(self.last_query_at)
 
-    def news(self) -> Voucher:
+    def updates(self) -> FreshnessReport:
         """Return what is told unasked."""
-        return self._voucher(0)
+        return self._report(0)
 
-    def _voucher(self, number: int) -> Voucher:
+    def _report(self, number: int) -> FreshnessReport:
         left_s = self.health.doubt_left_s if self.health.doubtful else 0.0
         away = left_s == math.inf
-        doubt_ms = 0 if away else min(math.ceil(left_s * 1000), MAX_MS)
+        doubt_ms = 0 if away else min(math.ceil(left_s * 1000), MAX_AGE_MS)
         now = self.clock.now()
         states = [
             KindState(
-                mark_of(kind),
+                kind_digest(kind),
                 age.changed,
                 age.revision,
-                min(max(math.ceil((now - age.as_of) * 1000), 0), MAX_MS),
+                min(max(math.ceil((now - age.as_of) * 1000), 0), MAX_AGE_MS),
             )
             for kind, mirror in self.mirrors.items()
             if (age := mirror.state())
         ]
-        return Voucher(self.name, number, states, away, doubt_ms)
+        return FreshnessReport(self.name, number, states, away, doubt_ms)
--- a/lacewingdock/components/relay/watchers.py
+++ b/lacewingdock/components/relay/watchers.py
@@ -3,15 +3,18 @@
 import zlib
 from collections.abc import Iterable
 
-from lacewingdock.components.relay.const import GROUP_ROUTERS, WATCHERS
+from lacewingdock.components.relay.const import (
+    ROUTERS_PER_GROUP,
+    WATCHERS_PER_GROUP,
+)
 
 
-def groups(routers: int) -> int:
+def group_count(routers: int) -> int:
     """Return in how many groups routers listen to watchers."""
-    return max(round(routers / GROUP_ROUTERS), 1)
+    return max(round(routers / ROUTERS_PER_GROUP), 1)
 
 
-def ranking(names: Iterable[str], name: str) -> list[str]:
+def rank_watchers(names: Iterable[str], name: str) -> list[str]:
     """Return all routers, those first whom a router's group listens to.
 
     All routers that know the same names rank them alike, and one that comes or
@@ -22,11 +25,11 @@
         name: The router that listens.
     """
     known = sorted(set(names) | {name})
-    group = zlib.crc32(name.encode()) % groups(len(known))
-    return sorted(known, key=lambda one: _draw(group, one))
+    group = zlib.crc32(name.encode()) % group_count(len(known))
+    return sorted(known, key=lambda one: _rank_key(group, one))
 
 
-def worthwhile(
+def reduces_calls(
     routers: int, watch_s: float, renew_s: float, part: float
 ) -> bool:
     """Whether few watchers make few calls.
@@ -38,9 +41,9 @@
         part: The part of the calls that may be left.
     """
     by_all = routers / watch_s
-    by_few = WATCHERS * groups(routers) / max(renew_s, 1e-3)
+    by_few = WATCHERS_PER_GROUP * group_count(routers) / max(renew_s, 1e-3)
     return by_few <= part * by_all
 
 
-def _draw(group: int, name: str) -> int:
+def _rank_key(group: int, name: str) -> int:
     return zlib.crc32(f"{group}/{name}".encode())
--- a/lacewingdock/components/shifts/__init__.py
+++ b/lacewingdock/components/shifts/__init__.py
@@ -15,8 +15,8 @@
 
 from lacewingdock.components.gossip import (
     MAX_SESSIONS,
-    KeptSession,
     Message,
+    PinnedSession,
 )
 from lacewingdock.components.shifts.const import (
     QUIET_REPORTS_PER_S,
@@ -199,14 +199,14 @@
         with self._lock:
             shift.take_report(report)
 
-    def sessions_to_keep(self) -> list[KeptSession]:
+    def sessions_to_keep(self) -> list[PinnedSession]:
         """Return the sessions that other routers would move too early.
 
         All routers draw alike which sessions the new version gets first, but
         one that did not serve a session before, or has started since, takes it
         for new. While a session must stay, those that know it tell it.
         """
-        found: list[KeptSession] = []
+        found: list[PinnedSession] = []
         for service, shift in list(self.running.items()):
             if not shift.keeps_sessions or shift.found_bad:
                 continue
--- a/lacewingdock/components/shifts/pins.py
+++ b/lacewingdock/components/shifts/pins.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from lacewingdock.components.gossip import KeptSession
+from lacewingdock.components.gossip import PinnedSession
 
 # A request that is still running keeps its session; the bound of the pause
 # counts from its end, which the last attempt's start is not.
@@ -45,7 +45,7 @@
             return None
         return pin[0]
 
-    def of_service(self, service: str) -> list[KeptSession]:
+    def of_service(self, service: str) -> list[PinnedSession]:
         """Return the sessions of a service that are remembered.
 
         Ages are rounded up: rounded down, what two routers tell each other in
@@ -54,12 +54,12 @@
         now = time.monotonic()
         with self._lock:
             return [
-                KeptSession(name, session, version, math.ceil(now - at))
+                PinnedSession(name, session, version, math.ceil(now - at))
                 for (name, session), (version, at) in self._pins.items()
                 if name == service and now - at <= self.kept_s
             ]
 
-    def hear(self, told: KeptSession) -> None:
+    def hear(self, told: PinnedSession) -> None:
         """Take another router's word, unless what is known is newer."""
         key = (told.service, told.session)
         at = time.monotonic() - told.age_s
--- a/lacewingdock/components/upstreams/choice.py
+++ b/lacewingdock/components/upstreams/choice.py
@@ -7,11 +7,14 @@
 from dataclasses import dataclass
 from typing import Final
 
-from lacewingdock.components.gossip.load import NOTHING, Work
+from lacewingdock.components.gossip.load import NO_WORK, Work
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.pacing.const import COLD_WEIGHT
 from lacewingdock.components.probes import Load
-from lacewingdock.components.probes.const import ASKED, FULL_WEIGHT
+from lacewingdock.components.probes.const import (
+    PROBED_INSTANCES,
+    QUEUED_REQUEST_WEIGHT,
+)
 from lacewingdock.components.probes.prober import Prober
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import (
@@ -77,7 +80,7 @@
         self.directory = directory
         self.failure_domain = failure_domain
         self.random = source
-        self.others: Callable[[int], Work] = lambda _: NOTHING
+        self.others: Callable[[int], Work] = lambda _: NO_WORK
         self.changed = threading.Event()
         self.prober: Prober | None = None
         self.pacer: Pacer | None = None
@@ -118,7 +121,7 @@
                 chosen = self._least(self._fit(fresh, now), now)
             self._count_in(chosen, unread, now)
         if chosen in loads and self.prober is not None:
-            self.prober.promise(chosen.entry.host, request, unread)
+            self.prober.announce(chosen.entry.host, request, unread)
         return chosen
 
     def reserve(
@@ -294,8 +297,8 @@
         known = sorted(
             fit, key=lambda one: (self._load(one, now), self.random.random())
         )
-        better = known[: max(len(known) // 2, ASKED)]
-        return self.random.sample(better, min(ASKED, len(better)))
+        better = known[: max(len(known) // 2, PROBED_INSTANCES)]
+        return self.random.sample(better, min(PROBED_INSTANCES, len(better)))
 
     def _ask(self, asked: Sequence[Instance]) -> dict[Instance, Load]:
         """Return what instances say of their load, of those that answer."""
@@ -337,7 +340,7 @@
         """
         running = max(told[one].running, one.running)
         load = running + UNREAD_WEIGHT * told[one].unread
-        load += FULL_WEIGHT * max(running + 1 - one.entry.slots, 0)
+        load += QUEUED_REQUEST_WEIGHT * max(running + 1 - one.entry.slots, 0)
         return load + self._against(one, now), self.random.random()
 
     def _load(self, one: Instance, now: float) -> float:
--- a/lacewingdock/daemons/load_sidecar.py
+++ b/lacewingdock/daemons/load_sidecar.py
@@ -15,14 +15,14 @@
 
 from lacewingdock.components.host_watch import LOOK_S
 from lacewingdock.components.probes.const import (
-    KNOWN_EVERY_S,
-    READ_EVERY_S,
-    REPORT_LATE_S,
-    TELL_EVERY_S,
+    LOG_INTERVAL_S,
+    MAX_REPORT_AGE_S,
+    MIN_REFRESH_INTERVAL_S,
+    READ_INTERVAL_S,
 )
 from lacewingdock.components.probes.gauge import EngineGauge
 from lacewingdock.components.probes.port import GaugePort
-from lacewingdock.components.probes.routers import KnownRouters
+from lacewingdock.components.probes.routers import RouterAddresses
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger, start_logging
 from lacewingdock.helpers.log_stream import DRAIN_S, LogStream
@@ -71,10 +71,10 @@
         """
         self.profile = profile
         self.gauge = EngineGauge()
-        self.reader = ReportReader(*profile.engine, REPORT_LATE_S)
-        self.routers = KnownRouters(ObjectApi(profile.platform))
+        self.reader = ReportReader(*profile.engine, MAX_REPORT_AGE_S)
+        self.routers = RouterAddresses(ObjectApi(profile.platform))
         self.port = GaugePort(
-            (profile.address, profile.port), self.gauge, self.routers.is_one
+            (profile.address, profile.port), self.gauge, self.routers.is_router
         )
         self.path = path
         self.asked = threading.Event()
@@ -92,7 +92,7 @@
             ).start()
         host, port = self.profile.engine
         log.info("started", engine=f"{host}:{port}", port=self.profile.port)
-        while not self.stopping.wait(TELL_EVERY_S):
+        while not self.stopping.wait(LOG_INTERVAL_S):
             self._tell("so far")
         self._tell("stopped")
 
@@ -107,17 +107,17 @@
     def _read(self, stopping: threading.Event) -> None:
         """Read the engine's report, again and again."""
         is_known = True
-        while not stopping.wait(READ_EVERY_S):
+        while not stopping.wait(READ_INTERVAL_S):
             asked_at = time.monotonic()
             try:
                 report = self.reader.read()
             except LacewingdockError as error:
-                self.gauge.take(None, asked_at)
+                self.gauge.update(None, asked_at)
                 if is_known:
                     log.info("engine lost", error=str(error))
                 is_known = False
                 continue
-            self.gauge.take(report, asked_at)
+            self.gauge.update(report, asked_at)
             if not is_known:
                 log.info("engine back", running=report.running)
             is_known = True
@@ -151,7 +151,7 @@
         """Keep the routers known."""
         while not stopping.is_set():
             self.routers.refresh()
-            stopping.wait(KNOWN_EVERY_S)
+            stopping.wait(MIN_REFRESH_INTERVAL_S)
 
 
 def main() -> None:
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -260,10 +260,10 @@
         for listener in self.listeners():
             _start(listener.name, listener.run, self.stopping)
         _start("gossip-in", self.gossip.listen, self.stopping)
-        _start("gossip-out", self.gossip.tell, self.stopping)
+        _start("gossip-out", self.gossip.send_messages, self.stopping)
         if self.relay is not None:
             _start("relay-in", self.relay.listen, self.stopping)
-            _start("relay-out", self.relay.ask, self.stopping)
+            _start("relay-out", self.relay.send_queries, self.stopping)
         if self.gateway.chooser.prober is not None:
             _start("probes", self.gateway.chooser.prober.listen, self.stopping)
         announcer = Announcer(
--- a/lacewingdock/daemons/router_ports.py
+++ b/lacewingdock/daemons/router_ports.py
@@ -6,8 +6,12 @@
 from collections.abc import Mapping
 
 from lacewingdock.components.gossip import MAX_REPLACED, Message
-from lacewingdock.components.gossip.limits import hear_limits, limits_of
-from lacewingdock.components.gossip.load import FleetLoad, hear_life, rows_of
+from lacewingdock.components.gossip.limits import apply_limits, limit_rows
+from lacewingdock.components.gossip.load import (
+    FleetLoad,
+    load_rows,
+    record_contacts,
+)
 from lacewingdock.components.gossip.port import GossipPort
 from lacewingdock.components.mirror import Mirror
 from lacewingdock.components.mirror.health import StoreHealth
@@ -49,16 +53,16 @@
     start = time.time_ns() // 1_000_000
 
     def compose(number: int) -> Message:
-        fleet_load.forget()
+        fleet_load.expire()
         return Message(
             host.instance,
             start,
             number,
-            rows_of(directory),
+            load_rows(directory),
             shifts.sessions_to_keep(),
             shifts.found_bad(),
             directory.replaced_lately()[:MAX_REPLACED],
-            limits_of(directory),
+            limit_rows(directory),
         )
 
     def others() -> list[tuple[str, int]]:
@@ -71,10 +75,10 @@
         (host.address, host.gossip_port),
         compose,
         [
-            fleet_load.hear,
+            fleet_load.update,
             shifts.hear_message,
-            lambda message: hear_life(directory, message),
-            lambda message: hear_limits(directory, message),
+            lambda message: record_contacts(directory, message),
+            lambda message: apply_limits(directory, message),
             lambda message: directory.replaced_by_other(
                 message.replaced, message.router
             ),
@@ -118,7 +122,7 @@
         routers.host_of,
     )
     for mirror in mirrors.values():
-        mirror.on_news = port.tell
+        mirror.on_news = port.announce
     return port
 
 
--- a/lacewingdock/daemons/router_relay.py
+++ b/lacewingdock/daemons/router_relay.py
@@ -9,10 +9,10 @@
 
 from lacewingdock.components.mirror import Mirror
 from lacewingdock.components.mirror.health import StoreHealth
-from lacewingdock.components.relay.const import WORTH_PART
+from lacewingdock.components.relay.const import MAX_CALLS_PART
 from lacewingdock.components.relay.follower import Follower
 from lacewingdock.components.relay.watcher import Watcher
-from lacewingdock.components.relay.watchers import worthwhile
+from lacewingdock.components.relay.watchers import reduces_calls
 from lacewingdock.components.routers import Routers
 from lacewingdock.daemons.router_timing import (
     BACK_LOOK_S,
@@ -108,7 +108,7 @@
         if kind in BOUND_KINDS:
             mirror.renew_s = functools.partial(most_age_s, kind)
     health.others_doubt = lambda: follower.doubtful
-    health.on_answer = follower.store_answered
+    health.on_answer = follower.record_store_answer
     return Relay(follower, Watcher(routers.name, mirrors, health, clock))
 
 
@@ -116,11 +116,11 @@
     """Whether a fleet makes fewer calls with a few watchers."""
     if renew_s(bounds) <= 0.0:
         return False
-    return worthwhile(
+    return reduces_calls(
         routers,
         entries_watch_s(bounds) + CHANGES_PAUSE_S,
         renew_s(bounds),
-        WORTH_PART,
+        MAX_CALLS_PART,
     )
 
 
@@ -151,7 +151,7 @@
     def spared_s() -> float:
         if not health.away:
             return 0.0
-        is_spared = follower.spared(mirror.called_at)
+        is_spared = follower.defers_to_watchers(mirror.called_at)
         probes = mirror.kind == KIND_INSTANCES and not is_spared
         due_at = mirror.called_at + outage_pause_s(bounds())
         left_s = due_at - mirror.clock.now()
--- a/lacewingdock/daemons/router_timing.py
+++ b/lacewingdock/daemons/router_timing.py
@@ -16,7 +16,7 @@
     RETRY_S,
     WATCH_GRACE_S,
 )
-from lacewingdock.components.relay.const import ASK_S, SPREAD
+from lacewingdock.components.relay.const import MIN_LIMIT_PART, QUERY_INTERVAL_S
 from lacewingdock.components.routers import ASKED, PULL_S
 from lacewingdock.components.shifts.const import (
     FORCE_BEFORE_S,
@@ -141,7 +141,9 @@
         return 0.0
     if limit_s is None:
         limit_s = follow_limit_s(bounds)
-    left_s = limit_s * SPREAD - 2 * ASK_S - ANSWER_S - SPARE_S
+    left_s = (
+        limit_s * MIN_LIMIT_PART - 2 * QUERY_INTERVAL_S - ANSWER_S - SPARE_S
+    )
     return left_s if left_s >= MIN_RENEW_S else 0.0
 
 
@@ -183,7 +185,7 @@
 _ANSWER: Final = Delay("answer", ANSWER_S)
 _HEARD: Final = (_PAUSE, _ANSWER)
 _PASSED_ON: Final = (
-    Delay("question of a follower", 2 * ASK_S),
+    Delay("question of a follower", 2 * QUERY_INTERVAL_S),
     Delay("fetch from the watcher", PULL_S),
 )
 
--- a/lacewingdock/lab/simulation.py
+++ b/lacewingdock/lab/simulation.py
@@ -10,8 +10,8 @@
 import simpy
 
 from lacewingdock.components.gossip import Message
-from lacewingdock.components.gossip.limits import hear_limits, limits_of
-from lacewingdock.components.gossip.load import NOTHING, Work
+from lacewingdock.components.gossip.limits import apply_limits, limit_rows
+from lacewingdock.components.gossip.load import NO_WORK, Work
 from lacewingdock.components.probes import Load
 from lacewingdock.lab.deployment import (
     Deployment,
@@ -197,7 +197,7 @@
     def _others(self, name: str, mark: int) -> Work:
         """Return what other routers have at an engine, as told lately."""
         if self.policy.choice is Choice.RANDOM:
-            return NOTHING
+            return NO_WORK
         running = sum(
             told[mark] for other, told in self._told.items() if other != name
         )
@@ -221,13 +221,13 @@
 
     def _tell_limits(self) -> None:
         for name, router in self.routers.items():
-            limits = limits_of(router.directory)
+            limits = limit_rows(router.directory)
             if not limits:
                 continue
             message = Message(name, 0, 0, limits=limits)
             for other in self.routers.values():
                 if other is not router:
-                    hear_limits(other.directory, message)
+                    apply_limits(other.directory, message)
 
     def _tick(self) -> Steps:
         bounds = self.deployment.bounds
--- a/lacewingdock/lab/world.py
+++ b/lacewingdock/lab/world.py
@@ -109,7 +109,7 @@
         loads = {one: self.world.load_at(one) for one in hosts}
         return {one: load for one, load in loads.items() if load is not None}
 
-    def promise(self, host: str, request: str, unread: float) -> None:
+    def announce(self, host: str, request: str, unread: float) -> None:
         """Tell of a request that is about to come."""
         del request, unread
         self.world.promised(host, 1)
--- a/tests/components/gossip/test_limits.py
+++ b/tests/components/gossip/test_limits.py
@@ -57,8 +57,8 @@
         directory.signals.answered(one.entry, one.signals, head, 0.0)
     message = decode(encode(told.compose(1)))
     assert len(message.limits) == MAX_LIMITS
-    for hear in hearing.hear:
-        hear(message)
+    for handler in hearing.handlers:
+        handler(message)
     now = other.clock.now()
     limits = [one.limit.at(now) for one in other.instances.values()]
     assert limits.count(2.0) == MAX_LIMITS
--- a/tests/components/gossip/test_load.py
+++ b/tests/components/gossip/test_load.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from lacewingdock.components.gossip import STALE_S, Message, Row
+from lacewingdock.components.gossip import STALE_S, LoadRow, Message
 from lacewingdock.components.gossip import load as module
 from lacewingdock.components.gossip.load import (
     FleetLoad,
     Work,
-    hear_life,
-    rows_of,
+    load_rows,
+    record_contacts,
 )
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
@@ -39,7 +39,7 @@
 
 
 def told(number, running, unread=0, start=1, router="r-1"):
-    return Message(router, start, number, [Row(7, running, unread)])
+    return Message(router, start, number, [LoadRow(7, running, unread)])
 
 
 @pytest.mark.parametrize(
@@ -62,7 +62,7 @@
 def test_what_is_told_adds_up(clock, messages, work):
     found = FleetLoad()
     for message in messages:
-        found.hear(message)
+        found.update(message)
     assert found.at(7) == work
 
 
@@ -73,14 +73,14 @@
     told last was counted for good.
     """
     found = FleetLoad()
-    found.hear(told(1, 5))
+    found.update(told(1, 5))
     clock.now += STALE_S / 2
-    found.hear(told(1, 2, router="r-2"))
+    found.update(told(1, 2, router="r-2"))
     clock.now += STALE_S / 2 + 0.01
-    found.forget()
+    found.expire()
     assert found.at(7) == Work(2)
     # Told by a clock that was set back: it counts once the old is forgotten.
-    found.hear(told(1, 1, start=0))
+    found.update(told(1, 1, start=0))
     assert found.at(7) == Work(3)
 
 
@@ -89,7 +89,7 @@
     for number, one in enumerate(found.instances.values()):
         one.running = 1 if number else 0
         one.unread = float(number)
-    rows = rows_of(found)
+    rows = load_rows(found)
     assert len(rows) == 96
     assert rows[0].unread == 29900
     assert all(row.running for row in rows)
@@ -119,10 +119,10 @@
             return
         self.number += 1
         for sender, found in enumerate(self.directories):
-            message = Message(f"r-{sender}", 1, self.number, rows_of(found))
+            message = Message(f"r-{sender}", 1, self.number, load_rows(found))
             for other, load in enumerate(self.loads):
                 if other != sender:
-                    load.hear(message)
+                    load.update(message)
 
 
 @pytest.mark.parametrize(
@@ -172,9 +172,9 @@
                 found = one.instances["a"]
                 found.heard_at = clock.now if found.running else 0.0
         for number, one in enumerate(fleet):
-            message = Message(f"r-{number}", 1, 1, rows_of(one))
+            message = Message(f"r-{number}", 1, 1, load_rows(one))
             for other in draw.sample(fleet, min(25, routers)):
-                hear_life(other, message)
+                record_contacts(other, message)
         known = [clock.now - one.instances["a"].alive_at for one in fleet]
         if clock.now < silent_from:
             assert max(known) <= 0.5
--- a/tests/components/gossip/test_port.py
+++ b/tests/components/gossip/test_port.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 
 from lacewingdock.components.gossip import (
-    KeptSession,
     LimitRow,
+    LoadRow,
     Message,
-    Row,
+    PinnedSession,
     decode,
     encode,
 )
@@ -26,8 +26,8 @@
     "router-1",
     1,
     2,
-    [Row(3, 4, 5)],
-    [KeptSession("svc", "s", "v1", 2)],
+    [LoadRow(3, 4, 5)],
+    [PinnedSession("svc", "s", "v1", 2)],
     [("svc", "v2")],
     [17],
     [LimitRow(3, 0.5, 40)],
@@ -41,13 +41,13 @@
 @pytest.mark.parametrize(
     "message",
     [
-        Message("r", 1, 1, [Row(1, -1, 0)]),
-        Message("r", 1, 1, [Row(1, 1, -5)]),
-        Message("r", 1, 1, [Row(n, 1, 0) for n in range(97)]),
-        Message("r", 1, 1, [], [KeptSession("a", "b", "c", -1)]),
-        Message("r", 1, 1, [], [KeptSession("a", "b", "c", 1)] * 65),
-        Message("r", 1, 1, [Row(1, 10_001, 0)]),
-        Message("r", 1, 1, [Row(1, 1, 10**15)]),
+        Message("r", 1, 1, [LoadRow(1, -1, 0)]),
+        Message("r", 1, 1, [LoadRow(1, 1, -5)]),
+        Message("r", 1, 1, [LoadRow(n, 1, 0) for n in range(97)]),
+        Message("r", 1, 1, [], [PinnedSession("a", "b", "c", -1)]),
+        Message("r", 1, 1, [], [PinnedSession("a", "b", "c", 1)] * 65),
+        Message("r", 1, 1, [LoadRow(1, 10_001, 0)]),
+        Message("r", 1, 1, [LoadRow(1, 1, 10**15)]),
         Message("r", 1, 1, bad=[("svc", "v2")] * 65),
         Message("r", 1, 1, replaced=[1] * 129),
         Message("r", 1, 1, limits=[LimitRow(1, 3.0, 5)] * 65),
@@ -90,38 +90,42 @@
         others: Whom it tells.
         at: Where the platform says that the others are.
     """
-    heard = []
+    received = []
     found = GossipPort(
         ("127.0.0.1", 0),
         compose,
-        [heard.append],
+        [received.append],
         lambda: list(others),
         lambda router, host: (router, host) == ("router-1", at),
         threading.Event(),
         random.Random(1),
     )
-    return found, heard
+    return found, received
 
 
-def sent_to(taker, *datagrams):
+def sent_to(receiver, *datagrams):
     """Send datagrams to a port and let it take them all."""
-    address = taker.datagrams.sock.getsockname()
+    address = receiver.datagrams.sock.getsockname()
     stopping = threading.Event()
-    task = threading.Thread(target=taker.listen, args=(stopping,), daemon=True)
+    task = threading.Thread(
+        target=receiver.listen, args=(stopping,), daemon=True
+    )
     task.start()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         for data in datagrams:
             sender.sendto(data, address)
         last = Message("last", 1, 1)
-        taken, is_at = threading.Event(), taker.is_at
-        taker.is_at = lambda *who: who[0] == "last" or is_at(*who)
-        taker.hear.append(lambda one: taken.set() if one == last else None)
+        taken, is_at = threading.Event(), receiver.is_at
+        receiver.is_at = lambda *who: who[0] == "last" or is_at(*who)
+        receiver.handlers.append(
+            lambda one: taken.set() if one == last else None
+        )
         sender.sendto(encode(last), address)
         assert taken.wait(5.0)
         stopping.set()
         sender.sendto(encode(last), address)
     task.join(5.0)
-    taker.close()
+    receiver.close()
     assert not task.is_alive()
 
 
@@ -131,10 +135,10 @@
     Sequence: a datagram of something else comes to its port. Cause: the task
     that takes messages ended with its error.
     """
-    taker, heard = port()
-    sent_to(taker, b"\xff\xfe odd", encode(FULL))
-    assert heard[0] == FULL
-    assert taker.datagrams.refused == 1
+    receiver, received = port()
+    sent_to(receiver, b"\xff\xfe odd", encode(FULL))
+    assert received[0] == FULL
+    assert receiver.datagrams.refused == 1
 
 
 @pytest.mark.parametrize(
@@ -143,7 +147,7 @@
         # Its router is elsewhere.
         (FULL, "127.0.0.2"),
         # There is no such router.
-        (Message("router-9", 1, 1, [Row(3, 4, 5)]), "127.0.0.1"),
+        (Message("router-9", 1, 1, [LoadRow(3, 4, 5)]), "127.0.0.1"),
         (Message("", 1, 1), "127.0.0.1"),
     ],
 )
@@ -154,10 +158,10 @@
     with a load of 10^15, a later start and a bad version. Cause: any sender
     was believed.
     """
-    taker, heard = port(at=at)
-    sent_to(taker, encode(message))
-    assert message not in heard
-    assert taker.datagrams.refused == 1
+    receiver, received = port(at=at)
+    sent_to(receiver, encode(message))
+    assert message not in received
+    assert receiver.datagrams.refused == 1
 
 
 def test_fault_of_a_listener_does_not_end_the_hearing():
@@ -165,16 +169,16 @@
 
     Cause: an error of what is told of messages ended the task that takes them.
     """
-    taker, heard = port()
+    receiver, received = port()
     later = Message("router-1", 1, 3)
 
     def fail_once(message):
         if message == FULL:
             raise ValueError("a fault")
 
-    taker.hear.insert(0, fail_once)
-    sent_to(taker, encode(FULL), encode(later))
-    assert heard[0] == later
+    receiver.handlers.insert(0, fail_once)
+    sent_to(receiver, encode(FULL), encode(later))
+    assert received[0] == later
 
 
 def test_fault_in_what_is_told_does_not_end_the_telling():
@@ -193,7 +197,9 @@
 
     found, _ = port(compose)
     found.changed.set()
-    task = threading.Thread(target=found.tell, args=(stopping,), daemon=True)
+    task = threading.Thread(
+        target=found.send_messages, args=(stopping,), daemon=True
+    )
     task.start()
     task.join(5.0)
     found.close()
@@ -208,7 +214,7 @@
         "lacewingdock.components.gossip.port.time.monotonic", lambda: now[0]
     )
     found, _ = port()
-    rows = [Row(1, 2, 3)]
+    rows = [LoadRow(1, 2, 3)]
     for moment, told in (
         (100.0, []),
         (100.1, rows),
@@ -219,7 +225,7 @@
     ):
         now[0] = moment
         message = Message("r", 1, found.number + 1, told)
-        if found._is_news(message):
+        if found._should_send(message):
             sent.append((moment, message.number))
     found.close()
     assert sent == [(100.1, 1), (100.5, 2), (100.6, 3)]
@@ -227,7 +233,7 @@
 
 def test_bytes_are_bounded():
     """A large fleet is told less often: 25 of 1,200 routers, full messages."""
-    rows = [Row(2**32 - n, 64, 10**6) for n in range(96)]
+    rows = [LoadRow(2**32 - n, 64, 10**6) for n in range(96)]
     others = [("127.0.0.1", 1)] * 1200
     found, _ = port(lambda n: Message("r" * 20, 1, n, rows), others)
     data = encode(found.compose(1))
--- a/tests/components/pacing/limited_fleet.py
+++ b/tests/components/pacing/limited_fleet.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from lacewingdock.components.gossip import Message, decode, encode
-from lacewingdock.components.gossip.limits import hear_limits, limits_of
+from lacewingdock.components.gossip.limits import apply_limits, limit_rows
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
@@ -89,14 +89,14 @@
 
     def tell(self, number):
         """Return what it tells other routers; nothing where it knows none."""
-        limits = limits_of(self.directory)
+        limits = limit_rows(self.directory)
         if not limits:
             return None
         return encode(Message(self.name, 0, number, limits=limits))
 
     def hear(self, data):
         """Take what another router tells."""
-        hear_limits(self.directory, decode(data))
+        apply_limits(self.directory, decode(data))
 
     def arrives(self, sent_at):
         """A request reaches the instance, which answers it."""
--- a/tests/components/pacing/test_named_limits.py
+++ b/tests/components/pacing/test_named_limits.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from lacewingdock.components.gossip import MAX_AGE_MS, LimitRow, Message
-from lacewingdock.components.gossip.limits import hear_limits, limits_of
+from lacewingdock.components.gossip.limits import apply_limits, limit_rows
 from lacewingdock.components.pacing.const import (
     LIMIT_EXTRA,
     LIMIT_OVERAGE,
@@ -211,20 +211,20 @@
     first.directory.signals.answered(
         first.instance.entry, first.instance.signals, NAMES_THREE, 0.0
     )
-    [row] = limits_of(first.directory)
-    hear_limits(second.directory, Message("r-0", 0, 1, limits=[row]))
+    [row] = limit_rows(first.directory)
+    apply_limits(second.directory, Message("r-0", 0, 1, limits=[row]))
     assert second.instance.limit.at(fleet.now()) == 3.0
-    assert limits_of(second.directory) == []
+    assert limit_rows(second.directory) == []
     # Nor what was not heard for long.
     fleet.time += TOLD_S
-    assert limits_of(first.directory) == []
+    assert limit_rows(first.directory) == []
 
 
 def test_limit_of_an_unknown_instance_is_passed_over():
     fleet = Fleet(1, [])
     [one] = fleet.routers.values()
     row = LimitRow(one.instance.mark + 1, 0.0, MAX_AGE_MS)
-    hear_limits(one.directory, Message("r-9", 0, 1, limits=[row]))
+    apply_limits(one.directory, Message("r-9", 0, 1, limits=[row]))
     assert one.instance.limit.at(fleet.now()) is None
 
 
--- a/tests/components/probes/test_asking.py
+++ b/tests/components/probes/test_asking.py
@@ -7,8 +7,16 @@
 
 import pytest
 
-from lacewingdock.components.probes import Load, Promise, Question, encode
-from lacewingdock.components.probes.const import SILENT_S, WAIT_S
+from lacewingdock.components.probes import (
+    Load,
+    LoadQuery,
+    RequestNotice,
+    encode,
+)
+from lacewingdock.components.probes.const import (
+    ANSWER_TIMEOUT_S,
+    SILENT_BACKOFF_S,
+)
 from lacewingdock.components.probes.gauge import EngineGauge
 from lacewingdock.components.probes.port import GaugePort
 from lacewingdock.components.probes.prober import Prober
@@ -48,7 +56,7 @@
         while time.monotonic() < end:
             if found := self.prober.ask(hosts or ("127.0.0.2",)):
                 return found
-            time.sleep(SILENT_S)
+            time.sleep(SILENT_BACKOFF_S)
         return {}
 
     def close(self):
@@ -69,9 +77,9 @@
 
 
 def test_load_and_promise(site):
-    site.gauge.take(EngineLoad(2, 1), time.monotonic() + 60.0)
+    site.gauge.update(EngineLoad(2, 1), time.monotonic() + 60.0)
     assert site.ask()["127.0.0.2"].running == 3
-    site.prober.promise("127.0.0.2", "a", 1.5)
+    site.prober.announce("127.0.0.2", "a", 1.5)
     wait(lambda: site.port.promised == 1, WAIT_LONG_S)
     assert site.ask()["127.0.0.2"].unread in (0.0, 1.5)
 
@@ -85,7 +93,7 @@
     site.known.clear()
     start = time.monotonic()
     assert site.prober.ask(["127.0.0.2"]) == {}
-    assert time.monotonic() - start >= WAIT_S * 0.9
+    assert time.monotonic() - start >= ANSWER_TIMEOUT_S * 0.9
     asked = site.prober.asked
     for _ in range(1000):
         assert site.prober.ask(["127.0.0.2"]) == {}
@@ -94,9 +102,9 @@
 
 def test_stranger_is_not_heard(site):
     """Symptom: work is kept from an engine by whoever reaches its port."""
-    site.gauge.take(EngineLoad(0, 0), time.monotonic() + 60.0)
+    site.gauge.update(EngineLoad(0, 0), time.monotonic() + 60.0)
     site.known.clear()
-    site.prober.promise("127.0.0.2", "a", 1.5)
+    site.prober.announce("127.0.0.2", "a", 1.5)
     wait(lambda: site.port.datagrams.refused >= 1, WAIT_LONG_S)
     assert site.port.promised == 0
     assert site.prober.ask(["127.0.0.2"]) == {}
@@ -104,7 +112,7 @@
 
 @pytest.mark.parametrize(
     "data",
-    [b"nonsense", encode(Question(1)), encode(Promise("a", 1.0))],
+    [b"nonsense", encode(LoadQuery(1)), encode(RequestNotice("a", 1.0))],
 )
 def test_what_is_no_answer_is_refused(site, data):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -114,14 +122,14 @@
 
 def test_answer_of_another_host_is_not_taken(site):
     """Symptom: a router places by the word of whoever guesses a number."""
-    site.prober._waiting = Everything(["127.0.0.2"])
+    site.prober._pending = Everything(["127.0.0.2"])
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.3", 0))
         address = site.prober.datagrams.sock.getsockname()
         sock.sendto(encode(Load(5, 0, 0.0)), address)
         sock.sendto(b"end", address)
     wait(lambda: site.prober.datagrams.refused == 1, WAIT_LONG_S)
-    assert site.prober._waiting.asked.loads == {}
+    assert site.prober._pending.asked.loads == {}
 
 
 class Everything:
--- a/tests/components/probes/test_gauge.py
+++ b/tests/components/probes/test_gauge.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from lacewingdock.components.probes import Promise
+from lacewingdock.components.probes import RequestNotice
 from lacewingdock.components.probes.const import (
-    MAX_PROMISES,
-    PROMISE_S,
-    REPORT_LATE_S,
+    EXPECTED_TTL_S,
+    MAX_EXPECTED_REQUESTS,
+    MAX_REPORT_AGE_S,
 )
 from lacewingdock.components.probes.gauge import EngineGauge
 from lacewingdock.world.engine_load import EngineLoad
@@ -20,7 +20,7 @@
 
 def gauge(time, running=3, waiting=1, events=None):
     found = EngineGauge(time)
-    found.take(EngineLoad(running, waiting, events or {}), time.now())
+    found.update(EngineLoad(running, waiting, events or {}), time.now())
     return found
 
 
@@ -38,25 +38,25 @@
     """
     found = gauge(time)
     assert figures(found) == (4, 0.0)
-    found.promise(Promise("a", 2.5))
-    found.promise(Promise("b", 1.0))
+    found.expect(RequestNotice("a", 2.5))
+    found.expect(RequestNotice("b", 1.0))
     assert figures(found) == (6, 3.5)
     # One came and is read; the other one's answer began.
-    found.take(EngineLoad(5, 1, {"a": 0, "b": 3}), time.now())
+    found.update(EngineLoad(5, 1, {"a": 0, "b": 3}), time.now())
     assert figures(found) == (6, 2.5)
-    found.take(EngineLoad(4, 1, {"b": 9}), time.now())
+    found.update(EngineLoad(4, 1, {"b": 9}), time.now())
     assert figures(found) == (5, 0.0)
 
 
 def test_promise_that_is_not_taken_up_lapses(time):
     found = gauge(time)
-    found.promise(Promise("a", 2.5))
-    time.time += PROMISE_S + 0.01
-    found.take(EngineLoad(3, 1), time.now())
+    found.expect(RequestNotice("a", 2.5))
+    time.time += EXPECTED_TTL_S + 0.01
+    found.update(EngineLoad(3, 1), time.now())
     assert figures(found) == (4, 0.0)
 
 
-@pytest.mark.parametrize("late_s", [REPORT_LATE_S + 0.01, 60.0])
+@pytest.mark.parametrize("late_s", [MAX_REPORT_AGE_S + 0.01, 60.0])
 def test_engine_whose_report_is_old_is_lost(time, late_s):
     """Symptom: requests go to an engine that is dark.
 
@@ -69,15 +69,15 @@
 
 def test_engine_that_started_again_owes_nothing(time):
     found = gauge(time)
-    found.promise(Promise("a", 2.5))
-    found.take(None, time.now())
+    found.expect(RequestNotice("a", 2.5))
+    found.update(None, time.now())
     assert figures(found) is None
-    found.take(EngineLoad(0, 0), time.now())
+    found.update(EngineLoad(0, 0), time.now())
     assert figures(found) == (0, 0.0)
 
 
 def test_promises_are_bounded(time):
     found = gauge(time, 0, 0)
-    for number in range(MAX_PROMISES + 50):
-        found.promise(Promise(f"r-{number}", 0.0))
-    assert figures(found) == (MAX_PROMISES, 0.0)
+    for number in range(MAX_EXPECTED_REQUESTS + 50):
+        found.expect(RequestNotice(f"r-{number}", 0.0))
+    assert figures(found) == (MAX_EXPECTED_REQUESTS, 0.0)
--- a/tests/components/probes/test_messages.py
+++ b/tests/components/probes/test_messages.py
@@ -6,8 +6,8 @@
 
 from lacewingdock.components.probes import (
     Load,
-    Promise,
-    Question,
+    LoadQuery,
+    RequestNotice,
     decode,
     encode,
 )
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize(
     "message",
-    [Question(2**31), Load(3, 17, 4.5), Promise("c" * 64, MAX_UNREAD)],
+    [LoadQuery(2**31), Load(3, 17, 4.5), RequestNotice("c" * 64, MAX_UNREAD)],
 )
 def test_there_and_back(message):
     data = encode(message)
@@ -33,8 +33,8 @@
         Load(1, -1, 0.0),
         Load(1, 1, -0.5),
         Load(1, 1, float("nan")),
-        Promise("c", float("inf")),
-        Promise("c", MAX_UNREAD * 2),
+        RequestNotice("c", float("inf")),
+        RequestNotice("c", MAX_UNREAD * 2),
     ],
 )
 def test_nonsense_is_refused(message):
--- a/tests/components/relay/test_messages.py
+++ b/tests/components/relay/test_messages.py
@@ -5,13 +5,13 @@
 from hypothesis import strategies as st
 
 from lacewingdock.components.relay import (
+    FreshnessQuery,
+    FreshnessReport,
     KindState,
-    Question,
-    Voucher,
     decode,
     encode,
 )
-from lacewingdock.components.relay.const import MAX_BYTES, MAX_KINDS, MAX_MS
+from lacewingdock.components.relay.const import MAX_AGE_MS, MAX_BYTES, MAX_KINDS
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from tests.fuzz.common import coded, fuzzed, json_bytes
 
@@ -21,9 +21,9 @@
 @pytest.mark.parametrize(
     "message",
     [
-        Question("r-1", 5),
-        Voucher("r-2", 5, [STATE], True, 300),
-        Voucher("r-2", 0, []),
+        FreshnessQuery("r-1", 5),
+        FreshnessReport("r-2", 5, [STATE], True, 300),
+        FreshnessReport("r-2", 0, []),
     ],
 )
 def test_there_and_back(message):
@@ -33,12 +33,12 @@
 @pytest.mark.parametrize(
     "message",
     [
-        Voucher("r", 1, [KindState(1, 5, 4, 0)]),
-        Voucher("r", 1, [KindState(1, -1, 4, 0)]),
-        Voucher("r", 1, [KindState(1, 3, 4, -1)]),
-        Voucher("r", 1, [KindState(1, 3, 4, MAX_MS + 1)]),
-        Voucher("r", 1, [], False, -1),
-        Voucher("r", 1, [STATE] * (MAX_KINDS + 1)),
+        FreshnessReport("r", 1, [KindState(1, 5, 4, 0)]),
+        FreshnessReport("r", 1, [KindState(1, -1, 4, 0)]),
+        FreshnessReport("r", 1, [KindState(1, 3, 4, -1)]),
+        FreshnessReport("r", 1, [KindState(1, 3, 4, MAX_AGE_MS + 1)]),
+        FreshnessReport("r", 1, [], False, -1),
+        FreshnessReport("r", 1, [STATE] * (MAX_KINDS + 1)),
     ],
 )
 def test_state_that_no_copy_has_is_refused(message):
@@ -48,9 +48,11 @@
 
 
 def test_all_kinds_fit_in_a_message():
-    longest = KindState(2**32 - 1, 2**40, 2**40, MAX_MS)
-    voucher = Voucher("r" * 64, 2**40, [longest] * MAX_KINDS, True, MAX_MS)
-    assert len(encode(voucher)) < MAX_BYTES
+    longest = KindState(2**32 - 1, 2**40, 2**40, MAX_AGE_MS)
+    report = FreshnessReport(
+        "r" * 64, 2**40, [longest] * MAX_KINDS, True, MAX_AGE_MS
+    )
+    assert len(encode(report)) < MAX_BYTES
 
 
 @fuzzed
--- a/tests/components/relay/test_port.py
+++ b/tests/components/relay/test_port.py
@@ -11,12 +11,12 @@
 from lacewingdock.components.mirror.copies import Copy
 from lacewingdock.components.mirror.health import StoreHealth
 from lacewingdock.components.relay import (
+    FreshnessQuery,
+    FreshnessReport,
     KindState,
-    Question,
-    Voucher,
     decode,
     encode,
-    mark_of,
+    kind_digest,
 )
 from lacewingdock.components.relay.follower import Follower
 from lacewingdock.components.relay.port import RelayPort
@@ -131,27 +131,27 @@
 
 
 def test_question_is_answered_and_news_told(site):
-    site.send(encode(Question("r-3", 77)))
+    site.send(encode(FreshnessQuery("r-3", 77)))
     answer = site.receive()
     assert (answer.router, answer.number) == ("r-0", 77)
-    assert answer.kinds[0].mark == mark_of(KIND)
+    assert answer.kinds[0].mark == kind_digest(KIND)
     assert site.follower.watches
-    site.port.tell()
+    site.port.announce()
     assert site.receive().number == 0
 
 
 def test_watcher_keeps_the_copy_young_and_is_fetched_from(site):
     site.mirror.as_of = 0.0
-    site.start(site.port.ask)
+    site.start(site.port.send_queries)
     number = site.receive().number
     watcher = site.follower.asked
-    state = KindState(mark_of(KIND), 1, 5, 0)
-    site.send(encode(Voucher(watcher, number, [state])))
+    state = KindState(kind_digest(KIND), 1, 5, 0)
+    site.send(encode(FreshnessReport(watcher, number, [state])))
     wait(lambda: site.mirror.revision == 5, WAIT_S)
     assert time.monotonic() - site.mirror.as_of < WAIT_S
     assert site.follower.kept_s(KIND) > 0
     # News that it lacks is fetched, once.
-    told = Voucher(watcher, 0, [KindState(mark_of(KIND), 9, 9, 0)])
+    told = FreshnessReport(watcher, 0, [KindState(kind_digest(KIND), 9, 9, 0)])
     site.send(encode(told))
     wait(lambda: site.mirror.revision == 9, WAIT_S)
     assert site.fetched == [(watcher, KIND, 5)]
@@ -162,9 +162,13 @@
     "data",
     [
         b"nonsense",
-        encode(Question("nobody", 1)),
-        encode(Question("r-0", 1)),
-        encode(Voucher("nobody", 0, [KindState(mark_of(KIND), 9, 9, 0)])),
+        encode(FreshnessQuery("nobody", 1)),
+        encode(FreshnessQuery("r-0", 1)),
+        encode(
+            FreshnessReport(
+                "nobody", 0, [KindState(kind_digest(KIND), 9, 9, 0)]
+            )
+        ),
     ],
 )
 def test_what_no_router_sent_is_refused(site, data):
@@ -181,11 +185,11 @@
     Sequence: an answer comes late, after the next question went out. Cause: it
     was counted from the later one.
     """
-    name, question = site.follower.question()
+    name, query = site.follower.query()
     site.mirror.as_of = 0.0
-    state = KindState(mark_of(KIND), 1, 5, 0)
-    for number in (question.number - 1, question.number + 1):
-        site.follower.hear(Voucher(name, number, [state]))
+    state = KindState(kind_digest(KIND), 1, 5, 0)
+    for number in (query.number - 1, query.number + 1):
+        site.follower.receive_report(FreshnessReport(name, number, [state]))
     assert site.mirror.as_of == 0.0
-    site.follower.hear(Voucher(name, question.number, [state]))
+    site.follower.receive_report(FreshnessReport(name, query.number, [state]))
     assert site.mirror.as_of > 0.0
--- a/tests/components/relay/test_watchers.py
+++ b/tests/components/relay/test_watchers.py
@@ -4,11 +4,14 @@
 
 import pytest
 
-from lacewingdock.components.relay.const import GROUP_ROUTERS, WATCHERS
+from lacewingdock.components.relay.const import (
+    ROUTERS_PER_GROUP,
+    WATCHERS_PER_GROUP,
+)
 from lacewingdock.components.relay.watchers import (
-    groups,
-    ranking,
-    worthwhile,
+    group_count,
+    rank_watchers,
+    reduces_calls,
 )
 
 
@@ -18,7 +21,9 @@
 
 def watchers(known):
     """Return the watchers that each router listens to."""
-    return {name: ranking(known, name)[:WATCHERS] for name in known}
+    return {
+        name: rank_watchers(known, name)[:WATCHERS_PER_GROUP] for name in known
+    }
 
 
 @pytest.mark.parametrize("count", [1, 4, 68, 300, 1200])
@@ -27,9 +32,9 @@
     listeners = Counter(
         watcher for found in watchers(known).values() for watcher in found
     )
-    assert len(listeners) <= WATCHERS * groups(count)
+    assert len(listeners) <= WATCHERS_PER_GROUP * group_count(count)
     # A router may watch for two groups, which are of like size by a hash.
-    assert max(listeners.values()) <= 3 * GROUP_ROUTERS
+    assert max(listeners.values()) <= 3 * ROUTERS_PER_GROUP
 
 
 def test_routers_of_a_group_agree():
@@ -59,4 +64,4 @@
     ],
 )
 def test_pays_where_it_halves_the_calls(routers, watch_s, renew_s, pays):
-    assert worthwhile(routers, watch_s, renew_s, 0.5) is pays
+    assert reduces_calls(routers, watch_s, renew_s, 0.5) is pays
--- a/tests/components/shifts/test_told.py
+++ b/tests/components/shifts/test_told.py
@@ -1,6 +1,6 @@
 """Tests of what routers tell each other of a roll-out."""
 
-from lacewingdock.components.gossip import KeptSession, Message
+from lacewingdock.components.gossip import Message, PinnedSession
 from lacewingdock.components.shifts.pins import SessionPins
 from lacewingdock.components.shifts.shift import SETTLE_S
 from tests.components.shifts.fakes import (
@@ -49,7 +49,7 @@
 def test_heard_session_is_not_younger_than_the_own_one():
     shifts = router(Store())
     shifts.pins.keep("svc", "s", "v2")
-    shifts.pins.hear(KeptSession("svc", "s", "v1", 3))
+    shifts.pins.hear(PinnedSession("svc", "s", "v1", 3))
     assert shifts.pins.version("svc", "s") == "v2"
 
 
--- a/tests/components/upstreams/test_asked_choice.py
+++ b/tests/components/upstreams/test_asked_choice.py
@@ -55,7 +55,7 @@
             if host not in self.silent
         }
 
-    def promise(self, host, request, unread):
+    def announce(self, host, request, unread):
         """Count nothing: a request comes at once here."""
 
 
--- a/tests/daemons/relay_fleet.py
+++ b/tests/daemons/relay_fleet.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from lacewingdock.components.mirror.copies import Copy
-from lacewingdock.components.relay import Question, decode, encode
-from lacewingdock.components.relay.const import ASK_S
+from lacewingdock.components.relay import FreshnessQuery, decode, encode
+from lacewingdock.components.relay.const import QUERY_INTERVAL_S
 from lacewingdock.components.routers import (
     ASKED,
     PULL_S,
@@ -173,30 +173,30 @@
 
     def take(self, message):
         """Take a message, as `RelayPort` does."""
-        if isinstance(message, Question):
-            self.relay.follower.heard_of()
+        if isinstance(message, FreshnessQuery):
+            self.relay.follower.record_query()
             answer = self.relay.watcher.answer(message.router, message.number)
             self.fleet.send(self.name, message.router, encode(answer))
         else:
-            self.relay.follower.hear(message)
+            self.relay.follower.receive_report(message)
 
     def _tell(self):
-        data = encode(self.relay.watcher.news())
+        data = encode(self.relay.watcher.updates())
         for router in self.relay.watcher.listeners():
             self.fleet.send(self.name, router, data)
 
     def _relay(self):
-        due = self.time.now() + self.draw.uniform(0, ASK_S)
+        due = self.time.now() + self.draw.uniform(0, QUERY_INTERVAL_S)
         while True:
             self.time.sleep(LOOK_S)
-            if self.relay.follower.news.is_set():
-                self.relay.follower.fetch_news()
+            if self.relay.follower.updates.is_set():
+                self.relay.follower.fetch_changes()
             if self.time.now() >= due:
-                due = self.time.now() + ASK_S
-                if found := self.relay.follower.question():
-                    router, question = found
+                due = self.time.now() + QUERY_INTERVAL_S
+                if found := self.relay.follower.query():
+                    router, query = found
                     self.time.sleep(TRIP_S)
-                    self.fleet.send(self.name, router, encode(question))
+                    self.fleet.send(self.name, router, encode(query))
 
     def _pull(self, kind, revision):
         """Ask two others for their copies, as `Routers.pull` does."""
--- a/tests/daemons/test_load_sidecar.py
+++ b/tests/daemons/test_load_sidecar.py
@@ -11,7 +11,7 @@
 import pytest
 
 from lacewingdock.cli import Commands
-from lacewingdock.components.probes.const import SILENT_MOST_S
+from lacewingdock.components.probes.const import MAX_SILENT_BACKOFF_S
 from lacewingdock.components.probes.prober import Prober
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.platform.object_api import ObjectApi
@@ -117,7 +117,7 @@
     assert ask(site).running == 4
     site.engine.active = 9
     wait(lambda: (found := ask(site)) and found.running == 10)
-    site.prober.promise("127.0.0.2", "c-1", 2.0)
+    site.prober.announce("127.0.0.2", "c-1", 2.0)
     wait(lambda: (found := ask(site)) and found.running == 11)
     # No report that can be.
     site.engine.active = -1
@@ -156,7 +156,7 @@
     start_at = time.monotonic()
     for _ in range(2000):
         assert site.prober.ask(["127.0.0.2"]) == {}
-    assert time.monotonic() - start_at < SILENT_MOST_S
+    assert time.monotonic() - start_at < MAX_SILENT_BACKOFF_S
 
 
 @pytest.mark.parametrize(
--- a/tests/daemons/test_router_relay.py
+++ b/tests/daemons/test_router_relay.py
@@ -6,7 +6,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from lacewingdock.components.relay.watchers import ranking
+from lacewingdock.components.relay.watchers import rank_watchers
 from lacewingdock.daemons.router_relay import is_worthwhile
 from lacewingdock.platform.documents import KIND_CONFIGURATION, KIND_INSTANCES
 from lacewingdock.world.host import Bounds
@@ -39,7 +39,7 @@
 
 def watchers_of(count, name):
     """Return the two routers that a router listens to first."""
-    return ranking(names(count), name)[:2]
+    return rank_watchers(names(count), name)[:2]
 
 
 def check(
@@ -393,4 +393,4 @@
     for router in fleet.routers.values():
         for when, _, version in router.seen:
             assert version >= 2 or when < at + 1.5
-        assert not router.relay.follower._from_store
+        assert not router.relay.follower._store_only
