--- a/lacewingdock/components/relay/follower.py
+++ b/lacewingdock/components/relay/follower.py
@@ -27,7 +27,7 @@
     WATCHER_TIMEOUT_S,
     WATCHERS_PER_GROUP,
 )
-from lacewingdock.components.relay.watchers import rank_watchers
+from lacewingdock.components.relay.watcher_ranking import rank_watchers
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
 
--- a/lacewingdock/daemons/router_relay.py
+++ b/lacewingdock/daemons/router_relay.py
@@ -12,7 +12,7 @@
 from lacewingdock.components.relay.const import MAX_CALLS_PART
 from lacewingdock.components.relay.follower import Follower
 from lacewingdock.components.relay.watcher import Watcher
-from lacewingdock.components.relay.watchers import reduces_calls
+from lacewingdock.components.relay.watcher_ranking import reduces_calls
 from lacewingdock.components.routers import Routers
 from lacewingdock.daemons.router_timing import (
     BACK_LOOK_S,
--- a/tests/components/relay/test_watchers.py
+++ b/tests/components/relay/test_watcher_ranking.py
@@ -8,7 +8,7 @@
     ROUTERS_PER_GROUP,
     WATCHERS_PER_GROUP,
 )
-from lacewingdock.components.relay.watchers import (
+from lacewingdock.components.relay.watcher_ranking import (
     group_count,
     rank_watchers,
     reduces_calls,
--- a/tests/daemons/test_router_relay.py
+++ b/tests/daemons/test_router_relay.py
@@ -6,7 +6,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from lacewingdock.components.relay.watchers import rank_watchers
+from lacewingdock.components.relay.watcher_ranking import rank_watchers
 from lacewingdock.daemons.router_relay import is_worthwhile
 from lacewingdock.platform.documents import KIND_CONFIGURATION, KIND_INSTANCES
 from lacewingdock.world.host import Bounds
