--- a/lacewingdock/components/gossip/__init__.py
+++ b/lacewingdock/components/gossip/__init__.py
@@ -1,14 +1,14 @@
-"""Support for what routers tell each other, many times a second.
+"""Support for gossip between routers, many times a second.
 
-A router counts its own requests only. With many of them each sees a small part
-of what an instance has to do, and what it chooses is close to a draw: two long
-prompts meet at one instance, and all that runs there waits for both, while the
-next instance is idle. So routers tell each other what they have running, and
-which sessions must stay on the version that they are on. They also tell of the
-limits that instances name, before each has to meet them itself.
+A router counts its own requests only. Among many routers each sees a small part
+of an instance's load, and its choice of an instance is close to random: two
+long prompts meet at one instance, and all requests there wait for both, while
+the next instance is idle. So routers send each other the requests that they
+have running, and the sessions that must stay on their version. They also share
+the rate limits that instances name, before each router runs into them itself.
 
-Messages are datagrams that may be lost. Nothing is agreed by them, and what is
-not repeated is forgotten.
+Messages are datagrams that may be lost. They establish no consensus, and
+information that is not repeated expires.
 """
 
 import math
@@ -18,44 +18,46 @@
 
 from lacewingdock.helpers.datagrams import bad_message, decode_message
 
-# What its port is for, in errors and in the log.
+# Name of the port in errors and in the log.
 NAME: Final = "gossip"
-# What a router told counts for this long: a few messages may be lost, and one
-# that is gone must not be reckoned with. While it has something to tell, a
-# router repeats it every third of it.
+# Seconds for which a router's message counts: a few messages may be lost, and
+# the load of a router that is gone must not be counted. A router repeats a
+# message that is not empty every third of this time.
 STALE_S: Final = 1.0
 REPEAT_S: Final = STALE_S / 3
-# Instances and sessions told of at most: a datagram's size.
+# Most instances and most sessions in a message, by the size of a datagram.
 MAX_ROWS: Final = 96
 MAX_SESSIONS: Final = 64
-# Versions found bad at most: one a service, of far fewer services.
+# Most bad versions in a message: one per service, and there are far fewer
+# services.
 MAX_BAD_VERSIONS: Final = 64
-# Instances told of at most that were replaced: all of a fleet that lost power
-# are told of in several messages.
+# Most replaced instances in a message: after a power loss of a whole fleet they
+# are spread over several messages.
 MAX_REPLACED: Final = 128
-# Limits told of at most, those that were heard of last.
+# Most limits in a message, the most recent ones.
 MAX_LIMITS: Final = 64
-# A limit beyond this, in requests a second, is none, and nothing older than
-# this, in milliseconds, is told.
+# Highest valid limit, in requests per second, and highest age of a limit in a
+# message, in milliseconds.
 MAX_PER_S: Final = 1e6
 MAX_AGE_MS: Final = 60_000
-# Requests at an instance at most, and what they have to read, in tens of
-# tokens: twenty times the connections that an instance takes, with the longest
-# prompts. A sum over all routers stays a number that a load is compared with.
+# Most requests at an instance, and their most unread tokens, in tens of tokens:
+# twenty times the connections that an instance accepts, with the longest
+# prompts. With these bounds the sum over all routers stays comparable with a
+# load.
 MAX_RUNNING: Final = 10_000
 MAX_UNREAD: Final = 10**8
 
 
 class LoadRow(msgspec.Struct, array_like=True, frozen=True):
-    """What a router has at an instance.
+    """A router's load at an instance.
 
     Attributes:
         mark: Digest of the instance's start.
-        running: Requests there.
-        unread: What those whose answers have not begun have to read, in tens
+        running: Requests of the router that run at the instance.
+        unread: Prompt tokens of those whose answers have not begun, in tens
             of tokens of the largest model.
-        quiet_ms: Milliseconds since anything came from the instance; below 0
-            where it is not told.
+        quiet_ms: Milliseconds since the router last received anything from
+            the instance; below 0 if not reported.
     """
 
     mark: int
@@ -65,13 +67,13 @@
 
 
 class PinnedSession(msgspec.Struct, array_like=True, frozen=True):
-    """A session that stays on an old version for a while.
+    """A session that is pinned to an old version for a while.
 
     Attributes:
         service: The service.
-        session: Its name.
-        version: The version that it is on.
-        age_s: Seconds since a request of it was last seen.
+        session: Name of the session.
+        version: The version to which it is pinned.
+        age_s: Seconds since its last request.
     """
 
     service: str
@@ -81,12 +83,12 @@
 
 
 class LimitRow(msgspec.Struct, array_like=True, frozen=True):
-    """A limit that an instance named to a router.
+    """A rate limit that an instance named to a router.
 
     Attributes:
         mark: Digest of the instance's start.
-        per_s: Requests a second that it takes from all routers.
-        age_ms: Milliseconds since it was heard.
+        per_s: Requests per second that it accepts from all routers together.
+        age_ms: Milliseconds since the router received it.
     """
 
     mark: int
@@ -95,17 +97,17 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """What a router tells the others.
+    """A router's gossip message.
 
     Attributes:
-        router: Its name.
-        start: Tells its starts apart, the later one larger.
-        number: Counts its messages since its start.
-        rows: What it has at the instances.
-        sessions: Sessions that stay on an old version.
+        router: Name of the router.
+        start: Identifies the start of the router; a later one is larger.
+        number: Sequence number of the message since that start.
+        rows: Its load at the instances.
+        sessions: Sessions that are pinned to an old version.
         bad: Versions that it found bad, as (service, version).
-        replaced: Digests of instances' starts at whose addresses others
-            answered.
+        replaced: Digests of instances' starts at whose addresses other
+            instances answered.
         limits: Limits that instances named to it.
     """
 
@@ -120,7 +122,7 @@
 
     @property
     def content(self) -> tuple[list[Any], ...]:
-        """What it says, apart from who says it and when."""
+        """The payload, without the sender, numbers and ages."""
         rows = [(row.mark, row.running, row.unread) for row in self.rows]
         limits = [(limit.mark, limit.per_s) for limit in self.limits]
         return rows, self.sessions, self.bad, self.replaced, limits
@@ -130,7 +132,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as a datagram."""
+    """Encode a message as a datagram."""
     return msgspec.msgpack.encode(message)
 
 
@@ -138,23 +140,24 @@
     """Decode a datagram.
 
     Raises:
-        LacewingdockError: BAD_REQUEST.
+        LacewingdockError: BAD_REQUEST, for a malformed message or a value
+            out of its bounds.
     """
     found = decode_message(_DECODER, NAME, data)
     if len(found.rows) > MAX_ROWS or len(found.sessions) > MAX_SESSIONS:
-        raise bad_message(NAME, "too long")
+        raise bad_message(NAME, "too many instances or sessions")
     if len(found.bad) > MAX_BAD_VERSIONS:
         raise bad_message(NAME, "too many bad versions")
     if len(found.replaced) > MAX_REPLACED:
         raise bad_message(NAME, "too many replaced instances")
     if not all(_is_load(row) for row in found.rows):
-        raise bad_message(NAME, "a load that no instance has")
+        raise bad_message(NAME, "load of an instance out of bounds")
     if len(found.limits) > MAX_LIMITS:
         raise bad_message(NAME, "too many limits")
     if not all(_is_limit(row) for row in found.limits):
-        raise bad_message(NAME, "a limit that no instance has")
+        raise bad_message(NAME, "limit of an instance out of bounds")
     if any(one.age_s < 0 for one in found.sessions):
-        raise bad_message(NAME, "a session that is yet to be seen")
+        raise bad_message(NAME, "negative age of a session")
     return found
 
 
--- a/lacewingdock/components/gossip/limits.py
+++ b/lacewingdock/components/gossip/limits.py
@@ -1,4 +1,4 @@
-"""Support for telling other routers of the limits that instances name."""
+"""Support for sharing the limits that instances name with other routers."""
 
 from lacewingdock.components.gossip import MAX_LIMITS, LimitRow, Message
 from lacewingdock.components.upstreams.directory import Directory
@@ -6,14 +6,15 @@
 
 
 def limit_rows(directory: Directory) -> list[LimitRow]:
-    """Return what instances told this router itself, the latest first.
+    """Return the limits named to this router itself, the latest first.
 
-    What it has of other routers it does not pass on: it would never end.
+    Limits received from other routers are not passed on: they would circulate
+    forever.
     """
     now = directory.clock.now()
     rows = []
     for one in list(directory.instances.values()):
-        # Read once: an answer may end it at any moment.
+        # Read once: an answer may end the limit at any moment.
         per_s, age_s = one.limit.own_per_s, now - one.limit.named_at
         if per_s is not None and age_s < TOLD_S:
             age_ms = max(round(age_s * 1000), 0)
@@ -23,7 +24,7 @@
 
 
 def apply_limits(directory: Directory, message: Message) -> None:
-    """Take which limits another router heard of."""
+    """Apply the limits in another router's message to the directory."""
     now = directory.clock.now()
     for row in message.limits:
         found = directory.by_mark(row.mark)
--- a/lacewingdock/components/gossip/load.py
+++ b/lacewingdock/components/gossip/load.py
@@ -1,4 +1,4 @@
-"""Support for knowing what all routers have running at the instances."""
+"""Support for the load that all routers have at the instances."""
 
 import math
 import threading
@@ -9,19 +9,20 @@
 from lacewingdock.components.gossip import MAX_ROWS, STALE_S, LoadRow, Message
 from lacewingdock.components.upstreams.directory import Directory
 
-# What was silent for longer shows no life; waits for a sign of it are shorter.
+# Longest silence of an instance that is reported, in milliseconds. All timeouts
+# that wait for a sign of life are shorter.
 MAX_QUIET_MS: Final = 10_000
-# Unread work counts thousands of tokens, in messages tens of them.
+# Thousands of tokens per unit of `unread` in messages, which is ten tokens.
 UNREAD_UNIT_KTOKENS: Final = 0.01
 
 
 @dataclass(slots=True, frozen=True)
 class Work:
-    """What is to be done at an instance.
+    """The pending work at an instance.
 
     Attributes:
-        running: Requests there.
-        unread: What those whose answers have not begun have to read, in
+        running: Requests that run at the instance.
+        unread: Prompt tokens of those whose answers have not begun, in
             thousands of tokens of the largest model.
     """
 
@@ -40,26 +41,26 @@
 
 
 class FleetLoad:
-    """What all other routers have running; safe to use from any task.
+    """The load of all other routers; safe to use from any task.
 
     Attributes:
-        routers: What each told last.
+        routers: The last loads received from each router, by its name.
     """
 
     __slots__ = ("_lock", "_sums", "routers")
 
     def __init__(self) -> None:
-        """Start without having heard anything."""
+        """Start without the load of any router."""
         self.routers: dict[str, _RouterLoads] = {}
         self._sums: dict[int, Work] = {}
         self._lock = threading.Lock()
 
     def at(self, mark: int) -> Work:
-        """Return what others have at the instance with a digest."""
+        """Return the other routers' work at the instance with a digest."""
         return self._sums.get(mark, NO_WORK)
 
     def update(self, message: Message) -> None:
-        """Take what a router told; what it told before that is void."""
+        """Replace a router's loads, unless the message is out of order."""
         order = (message.start, message.number)
         with self._lock:
             before = self.routers.get(message.router)
@@ -73,7 +74,7 @@
             self._add(message.rows, 1)
 
     def expire(self) -> None:
-        """Drop what is too old to count."""
+        """Drop the loads of routers whose last message is stale."""
         old = time.monotonic() - STALE_S
         with self._lock:
             for name, received in list(self.routers.items()):
@@ -93,7 +94,7 @@
 
 
 def record_contacts(directory: Directory, message: Message) -> None:
-    """Take which instances another router heard lately."""
+    """Record when another router last received data from instances."""
     now = time.monotonic()
     for row in message.rows:
         if 0 <= row.quiet_ms <= MAX_QUIET_MS:
@@ -101,7 +102,10 @@
 
 
 def load_rows(directory: Directory) -> list[LoadRow]:
-    """Return what this router has at the instances, the most work first."""
+    """Return this router's load at the instances.
+
+    Above `MAX_ROWS` the instances with the most work are kept, the most first.
+    """
     now = time.monotonic()
     rows = [
         LoadRow(
@@ -120,6 +124,10 @@
 
 
 def _quiet_ms(quiet_s: float) -> int:
-    """Return for how long an instance was silent, rounded up."""
+    """Return the silence of an instance in milliseconds, rounded up.
+
+    Returns:
+        Milliseconds; -1 beyond `MAX_QUIET_MS`.
+    """
     quiet_ms = math.ceil(quiet_s * 1000)
     return quiet_ms if 0 <= quiet_ms <= MAX_QUIET_MS else -1
--- a/lacewingdock/components/gossip/port.py
+++ b/lacewingdock/components/gossip/port.py
@@ -1,4 +1,4 @@
-"""Support for sending and taking the routers' messages to each other."""
+"""Support for sending and receiving gossip messages."""
 
 import random
 import threading
@@ -16,18 +16,20 @@
 from lacewingdock.helpers.datagrams import DatagramPort, not_from
 from lacewingdock.helpers.log import get_logger
 
-# The shortest time between two messages. A prompt of the mean size is read in
-# some hundred ms, and a choice that rests on older news repeats another's.
+# Shortest time between two messages, in seconds. A prompt of mean size is read
+# in some hundred milliseconds, and a router that goes by older loads chooses
+# the same instance as another one.
 MIN_SEND_INTERVAL_S: Final = 0.04
-# What a router sends at most, under half of what control may take: in a large
-# fleet it tells less often.
+# Most bytes that a router sends per second, under half of the bandwidth allowed
+# for control traffic: in a large fleet it sends less often.
 MAX_SEND_BYTES_PER_S: Final = 8000.0
-# Routers told at most each time, drawn anew: beyond that the picture is of a
-# part of the fleet, as stale as the time between two messages.
+# Most routers that receive a message, drawn anew for each one. In a larger
+# fleet a router has the loads of a part of the fleet only, as stale as the time
+# between two messages.
 FANOUT: Final = 25
-# Longest datagram read; a message with all rows is shorter.
+# Longest datagram that is read, in bytes; a message with all rows is shorter.
 MAX_BYTES: Final = 8192
-# A datagram's headers, which links carry too.
+# Bytes of a datagram's IP and UDP headers, which count as traffic too.
 HEADER_BYTES: Final = 28
 
 EMPTY_CONTENT: Final = Message("", 0, 0).content
@@ -36,21 +38,21 @@
 
 
 class GossipPort:
-    """Sends and takes messages.
+    """Sends and receives gossip messages.
 
     Attributes:
-        datagrams: The port.
-        compose: Returns what is to be told now, but for its number.
-        hear: Take each message that comes.
+        datagrams: The UDP port.
+        compose: Returns the current message with a given number.
+        handlers: Called with each received message.
         others: Returns the addresses of the other routers.
-        is_at: Returns whether the router of a name is at an IP number, by the
-            platform's entries.
-        changed: Set when there may be news to tell.
-        random: Source of draws.
-        last: What was told last.
-        told_at: Monotonic time of that.
+        is_at: Returns whether the router of a name is at an IP address, by
+            the platform's entries.
+        changed: Set when the content of the message may have changed.
+        random: Source of randomness.
+        last: The message that was sent last.
+        last_sent_at: Monotonic time at which it was sent.
         number: Messages sent so far.
-        sent_bytes: Bytes that links carried of them.
+        sent_bytes: Bytes sent so far, with the datagrams' headers.
     """
 
     __slots__ = (
@@ -95,19 +97,20 @@
         self.datagrams = DatagramPort(NAME, address, MAX_BYTES)
 
     def listen(self, stopping: threading.Event) -> None:
-        """Take what others tell until the daemon stops."""
+        """Receive messages until the daemon stops."""
         self.datagrams.listen(self._receive, stopping)
 
     def send_messages(self, stopping: threading.Event) -> None:
-        """Tell the others until the daemon stops."""
+        """Send messages to the other routers until the daemon stops."""
         while not stopping.is_set():
             self.changed.wait(REPEAT_S)
             self.changed.clear()
             try:
                 spent = self._send_if_due()
             except Exception:
-                # The others would reckon without this router for good.
-                log.exception("message not told")
+                # If the task ended here, the other routers would miss this
+                # router's load for good.
+                log.exception("message not sent")
                 spent = 0
             stopping.wait(
                 max(MIN_SEND_INTERVAL_S, spent / MAX_SEND_BYTES_PER_S)
@@ -122,14 +125,15 @@
         return self._send(encode(message)) if self._should_send(message) else 0
 
     def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
-        """Hand a message on.
+        """Pass a message to the handlers, if its sender is genuine.
 
-        Whoever reaches the port could else keep work away from an instance,
-        or end a roll-out, with one datagram in another router's name.
+        Without this check any host that reaches the port could keep work away
+        from an instance, or end a roll-out, with one datagram in the name of
+        another router.
 
         Raises:
-            LacewingdockError: BAD_REQUEST, if it is not from the router that
-                it names.
+            LacewingdockError: BAD_REQUEST, if the message is not from the
+                router that it names.
         """
         message = decode(data)
         if not self.is_at(message.router, sender[0]):
@@ -138,7 +142,7 @@
             handler(message)
 
     def _should_send(self, message: Message) -> bool:
-        """Whether a message tells anything new, or is to be repeated."""
+        """Whether a message has new content or is due to be repeated."""
         now = time.monotonic()
         told = self.last.content if self.last else EMPTY_CONTENT
         is_due = now - self.last_sent_at >= REPEAT_S and any(told)
@@ -148,7 +152,11 @@
         return True
 
     def _send(self, data: bytes) -> int:
-        """Send to some of the others; return the bytes that links carry."""
+        """Send to a random sample of the other routers.
+
+        Returns:
+            The bytes sent, with the datagrams' headers.
+        """
         others = self.others()
         told = self.random.sample(others, min(FANOUT, len(others)))
         for address in told:
--- a/lacewingdock/components/probes/__init__.py
+++ b/lacewingdock/components/probes/__init__.py
@@ -1,15 +1,15 @@
-"""Support for asking instances for their load before placing a request.
-
-A router of many sees a small part of what an instance has to do, and what
-others tell it is some hundred milliseconds old: requests met at one instance
-and waited while others had free places. A sidecar beside the instance knows
-what is true now. It is asked by a datagram, and told what will come, so that
-routers do not all choose the same idle one. Probing several candidates and
-placing by their own fresh figures is known from Prequal (Wydrowski et al.,
-"Load is not what you should balance", 2024).
-
-A sidecar that does not answer costs a few milliseconds, and nothing rests on
-what it says but where a request goes.
+"""Support for probing the load of instances before placing a request.
+
+One router of many sees a small part of an instance's load, and the loads that
+it receives from the others are some hundred milliseconds old: requests met at
+one instance and waited while other instances had free places. A sidecar beside
+the instance has the current load. Routers query it by a datagram, and announce
+requests to it, so that they do not all choose the same idle instance. Probing
+several candidates and placing by their own fresh figures is known from Prequal
+(Wydrowski et al., "Load is not what you should balance", 2024).
+
+A sidecar that does not answer costs a few milliseconds. Its answers affect
+nothing but the placement of requests.
 """
 
 import math
@@ -21,22 +21,22 @@
 
 
 class LoadQuery(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Asks a sidecar for its instance's load.
+    """Asks a sidecar for the load of its instance.
 
     Attributes:
-        number: Tells the questions of a router apart; the answer bears it.
+        number: Identifies the query of a router; the answer repeats it.
     """
 
     number: int
 
 
 class Load(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """What an instance has to do now.
+    """The current load of an instance.
 
     Attributes:
-        number: The question that it answers.
-        running: Requests that run, wait there or are about to come.
-        unread: What those whose answers have not begun have to read, in
+        number: Number of the query that it answers.
+        running: Requests that run or wait there, or that were announced.
+        unread: Prompt tokens of those whose answers have not begun, in
             thousands of tokens of the largest model.
         lost: Whether the sidecar can't read its instance's report.
     """
@@ -48,11 +48,11 @@
 
 
 class RequestNotice(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Tells a sidecar that a request is about to come.
+    """Announces a request to a sidecar before it is sent.
 
     Attributes:
-        request: Its id.
-        unread: What it has to read, as in `Load`.
+        request: Id of the request.
+        unread: Its prompt tokens, in the unit of `Load.unread`.
     """
 
     request: str
@@ -65,7 +65,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as a datagram."""
+    """Encode a message as a datagram."""
     return msgspec.msgpack.encode(message)
 
 
@@ -73,13 +73,14 @@
     """Decode a datagram.
 
     Raises:
-        LacewingdockError: BAD_REQUEST.
+        LacewingdockError: BAD_REQUEST, for a malformed message or a value
+            out of its bounds.
     """
     found = decode_message(_DECODER, NAME, data)
     if isinstance(found, Load) and found.running < 0:
-        raise bad_message(NAME, "a load that no instance has")
+        raise bad_message(NAME, "negative number of running requests")
     if not isinstance(found, LoadQuery) and not _is_token_count(found.unread):
-        raise bad_message(NAME, "work that no request is")
+        raise bad_message(NAME, "unread tokens out of bounds")
     return found
 
 
--- a/lacewingdock/components/probes/const.py
+++ b/lacewingdock/components/probes/const.py
@@ -1,40 +1,43 @@
-"""Constants of asking instances for their load."""
+"""Constants of probing instances for their load."""
 
 from typing import Final
 
-# What the ports are for, in errors and in the log.
+# Name of the ports in errors and in the log.
 NAME: Final = "probes"
-# Instances asked before each choice. Two fresh answers take nearly all of the
-# difference between a draw and the best; the third is for one that is silent.
+# Instances that are probed before each choice. Two fresh answers gain nearly
+# all of the difference between a random choice and the best one; the third
+# instance makes up for a silent one.
 PROBED_INSTANCES: Final = 3
-# How long the answers are waited for: twice the way between failure domains and
-# back. A request waits hundreds of milliseconds for its first event.
+# Seconds to wait for the answers: two round trips between failure domains. A
+# request waits hundreds of milliseconds for its first event anyway.
 ANSWER_TIMEOUT_S: Final = 0.006
-# An instance whose sidecar did not answer is not asked for this long, twice as
-# long after each further time, up to the second figure: where no sidecars run
-# they must not cost each request a wait.
+# Exponential backoff for an instance whose sidecar did not answer, in seconds:
+# the first pause, which doubles each time, and the longest one. Where no
+# sidecars run, they must not delay each request.
 SILENT_BACKOFF_S: Final = 0.3
 MAX_SILENT_BACKOFF_S: Final = 10.0
-# How often a sidecar reads its engine's report: what began since is among the
-# promises.
+# Seconds between a sidecar's reads of its engine's report. Requests that began
+# since are among the announced ones.
 READ_INTERVAL_S: Final = 0.05
-# A report that is older says nothing; a read that takes longer has failed.
+# Highest age of a report that counts, and timeout of a read, in seconds.
 MAX_REPORT_AGE_S: Final = 0.5
-# A request that was promised and does not come is forgotten: it takes
-# milliseconds, a new connection tens of them.
+# Seconds after which an announced request that did not arrive stops counting. A
+# request takes milliseconds to arrive, with a new connection tens of them.
 EXPECTED_TTL_S: Final = 0.5
-# Promises kept at most: places and queue of the largest engine, ten times.
+# Most announced requests that are tracked: ten times the places and the queue
+# of the largest engine.
 MAX_EXPECTED_REQUESTS: Final = 1024
-# How often the routers' entries are read again at most, where an unknown sender
-# asks, and at least: routers come and go rarely.
+# Shortest time between two reads of the routers' entries, where an unknown
+# sender queries, and the longest one, in seconds: routers join and leave
+# rarely.
 MIN_REFRESH_INTERVAL_S: Final = 2.0
 MAX_ROUTERS_AGE_S: Final = 600.0
-# How often a sidecar says in its log what it did.
+# Seconds between log lines with a sidecar's counters.
 LOG_INTERVAL_S: Final = 60.0
-# Longest message read.
+# Longest message that is read, in bytes.
 MAX_BYTES: Final = 512
-# The longest request that is promised, in thousands of tokens.
+# Most unread tokens in a message, in thousands of tokens.
 MAX_UNREAD: Final = 10_000.0
-# What a request beyond an engine's places costs in requests that run: it waits
+# Weight of a request beyond an engine's places, in running requests: it waits
 # until one of them ends.
 QUEUED_REQUEST_WEIGHT: Final = 4.0
--- a/lacewingdock/components/probes/gauge.py
+++ b/lacewingdock/components/probes/gauge.py
@@ -1,4 +1,4 @@
-"""Support for knowing what an engine has to do at this moment."""
+"""Support for the current load of an engine."""
 
 import threading
 from dataclasses import dataclass
@@ -16,12 +16,12 @@
 
 @dataclass(slots=True)
 class _ExpectedRequest:
-    """A request that was promised.
+    """A request that a router announced.
 
     Attributes:
-        unread: What it has still to read.
-        until: When it is forgotten unless it comes.
-        came: Whether the engine reported it.
+        unread: Its unread prompt tokens, in thousands.
+        until: Moment until which it counts if it does not arrive.
+        arrived: Whether the engine reported it.
     """
 
     unread: float
@@ -30,12 +30,12 @@
 
 
 class EngineGauge:
-    """An engine's load: its last report, and what was promised since.
+    """The load of an engine: its last report and the requests announced since.
 
     Attributes:
-        clock: The time it goes by.
-        report: The last report; None where it can't be read.
-        read_at: When that was asked for.
+        clock: Source of the current time.
+        report: The last report; None if it can't be read.
+        read_at: Moment at which the read of it began.
     """
 
     __slots__ = ("_expected", "_lock", "clock", "read_at", "report")
@@ -49,7 +49,7 @@
         self._lock = threading.Lock()
 
     def load(self, number: int) -> Load:
-        """Return the answer to a question."""
+        """Return the answer to the query with a number."""
         now = self.clock.now()
         with self._lock:
             if self.report is None or now - self.read_at > MAX_REPORT_AGE_S:
@@ -63,7 +63,7 @@
         return Load(number, running, min(unread, MAX_UNREAD))
 
     def expect(self, notice: RequestNotice) -> None:
-        """Expect a request; it counts until it comes, or for a moment."""
+        """Count an announced request until it arrives or expires."""
         until = self.clock.now() + EXPECTED_TTL_S
         with self._lock:
             if len(self._expected) < MAX_EXPECTED_REQUESTS:
@@ -72,11 +72,11 @@
                 )
 
     def update(self, report: EngineLoad | None, asked_at: float) -> None:
-        """Take a report, or that there is none.
+        """Store a report, and update the announced requests by it.
 
         Args:
-            report: The report.
-            asked_at: When it was asked for.
+            report: The report; None if it can't be read.
+            asked_at: Moment at which the read began.
         """
         now = self.clock.now()
         with self._lock:
--- a/lacewingdock/components/probes/port.py
+++ b/lacewingdock/components/probes/port.py
@@ -1,4 +1,4 @@
-"""Support for a sidecar's port, where routers ask for its engine's load."""
+"""Support for the port on which a sidecar reports its engine's load."""
 
 import threading
 from collections.abc import Callable
@@ -15,14 +15,14 @@
 
 
 class GaugePort:
-    """Answers questions and takes promises.
+    """Answers load queries and accepts announcements of requests.
 
     Attributes:
-        datagrams: The port.
-        gauge: What is known of the engine.
-        is_router: Returns whether a router is at an IP number, by the
+        datagrams: The UDP port.
+        gauge: The load of the engine.
+        is_router: Returns whether a router is at an IP address, by the
             platform's entries.
-        promised: Promises taken.
+        promised: Announcements accepted.
     """
 
     __slots__ = ("datagrams", "gauge", "is_router", "promised")
@@ -44,7 +44,7 @@
         self.promised = 0
 
     def listen(self, stopping: threading.Event) -> None:
-        """Answer until the daemon stops."""
+        """Receive messages until the daemon stops."""
         self.datagrams.listen(self._receive, stopping)
 
     def close(self) -> None:
@@ -52,16 +52,18 @@
         self.datagrams.close()
 
     def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
-        """Take a message of a router.
+        """Handle a message, if it comes from a router.
 
-        Whoever reaches the port could else keep work from the engine.
+        Without this check any host that reaches the port could keep work away
+        from the engine.
 
         Raises:
-            LacewingdockError: BAD_REQUEST, if it is from nobody known.
+            LacewingdockError: BAD_REQUEST, for an unknown sender or a message
+                that only sidecars send.
         """
         message = decode(data)
         if not self.is_router(sender[0]):
-            raise bad_message(NAME, "not from a router")
+            raise bad_message(NAME, "the sender is not a router")
         match message:
             case LoadQuery(number):
                 answer = encode(self.gauge.load(number))
@@ -70,4 +72,6 @@
                 self.gauge.expect(message)
                 self.promised += 1
             case _:
-                raise bad_message(NAME, "an answer nobody asked for")
+                raise bad_message(
+                    NAME, "an answer where a query or a notice was expected"
+                )
--- a/lacewingdock/components/probes/prober.py
+++ b/lacewingdock/components/probes/prober.py
@@ -1,4 +1,4 @@
-"""Support for a router that asks instances for their load."""
+"""Support for a router that probes instances for their load."""
 
 import random
 import threading
@@ -25,12 +25,12 @@
 
 @dataclass(slots=True)
 class _PendingQuery:
-    """A question that waits for its answers.
+    """A query that waits for its answers.
 
     Attributes:
-        hosts: Who was asked.
-        loads: What they answered.
-        whole: Set once all did.
+        hosts: The hosts that were queried.
+        loads: The loads received so far, by host.
+        complete: Set once all hosts answered.
     """
 
     hosts: Collection[str]
@@ -43,8 +43,8 @@
     """A host that did not answer.
 
     Attributes:
-        until: Until when it is not asked.
-        rest_s: For how long it was left alone last.
+        until: Moment until which it is not queried.
+        backoff_s: Length of that pause, in seconds.
     """
 
     until: float
@@ -52,14 +52,14 @@
 
 
 class Prober:
-    """Asks sidecars for their instances' load; safe to use from any task.
+    """Queries sidecars for their instances' load; safe to use from any task.
 
     Attributes:
-        datagrams: A port of its own.
-        port: Where sidecars take questions, the same on all instances.
-        clock: The time it goes by.
-        asked: Questions sent.
-        answered: Answers that came in time.
+        datagrams: The UDP port of the prober.
+        port: Port of the sidecars, the same on all instances.
+        clock: Source of the current time.
+        asked: Queries sent.
+        answered: Answers received in time.
     """
 
     __slots__ = (
@@ -81,13 +81,13 @@
         source: random.Random,
         clock: Clock = STEADY,
     ) -> None:
-        """Bind a port of its own.
+        """Bind a free port.
 
         Args:
-            address: This router's IP number.
-            port: Where sidecars take questions.
-            source: Source of draws.
-            clock: The time it goes by.
+            address: This router's IP address.
+            port: Port of the sidecars.
+            source: Source of randomness.
+            clock: Source of the current time.
 
         Raises:
             LacewingdockError: PORT_TAKEN or BAD_SETTING.
@@ -103,7 +103,11 @@
         self._lock = threading.Lock()
 
     def ask(self, hosts: Collection[str]) -> dict[str, Load]:
-        """Return the loads of those that answer in time, by host."""
+        """Query hosts, except those in backoff.
+
+        Returns:
+            The loads of the hosts that answer in time, by host.
+        """
         now = self.clock.now()
         with self._lock:
             asked = _PendingQuery(
@@ -125,12 +129,12 @@
             return dict(asked.loads)
 
     def announce(self, host: str, request: str, unread: float) -> None:
-        """Tell a host's sidecar that a request is about to come."""
+        """Announce a request to a host's sidecar before it is sent."""
         data = encode(RequestNotice(request, unread))
         self.datagrams.send(data, (host, self.port))
 
     def listen(self, stopping: threading.Event) -> None:
-        """Take answers until the daemon stops."""
+        """Receive answers until the daemon stops."""
         self.datagrams.listen(self._receive, stopping)
 
     def close(self) -> None:
@@ -138,19 +142,19 @@
         self.datagrams.close()
 
     def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
-        """Take an answer, from whom a question went to only.
+        """Store an answer, if its sender was queried.
 
         Raises:
-            LacewingdockError: BAD_REQUEST, if it is none.
+            LacewingdockError: BAD_REQUEST, if the message is no answer.
         """
         found = decode(data)
         if not isinstance(found, Load):
-            raise bad_message(NAME, "no answer")
+            raise bad_message(NAME, "a message other than an answer")
         host = sender[0]
         with self._lock:
             asked = self._pending.get(found.number)
             if asked is None or host not in asked.hosts:
-                # It came late, which is no fault.
+                # A late answer is no error.
                 return
             asked.loads[host] = found
             if len(asked.loads) == len(asked.hosts):
@@ -161,7 +165,7 @@
         return silent is None or silent.until <= now
 
     def _record_answers(self, asked: _PendingQuery, now: float) -> None:
-        """Note who answered and who did not."""
+        """Count the answers, and back off from the hosts that sent none."""
         self.answered += len(asked.loads)
         for host in asked.hosts:
             if host in asked.loads:
--- a/lacewingdock/components/probes/routers.py
+++ b/lacewingdock/components/probes/routers.py
@@ -1,4 +1,4 @@
-"""Support for a sidecar to know which senders are routers."""
+"""Support for a sidecar to recognize routers by their IP addresses."""
 
 import threading
 import time
@@ -15,19 +15,19 @@
 
 
 class RouterAddresses:
-    """The routers' IP numbers, by the platform's entries.
+    """The routers' IP addresses, by the platform's entries.
 
     Attributes:
         api: The platform's store.
-        hosts: The IP numbers.
-        unknown: Set when somebody else asked since they were read.
-        read_at: When they were read.
+        hosts: The IP addresses.
+        refresh_due: Set when an unknown sender queried since they were read.
+        read_at: Monotonic time at which they were read.
     """
 
     __slots__ = ("api", "hosts", "read_at", "refresh_due")
 
     def __init__(self, api: ObjectApi) -> None:
-        """Know nobody yet."""
+        """Start without addresses, and have them read."""
         self.api = api
         self.hosts: frozenset[str] = frozenset()
         self.refresh_due = threading.Event()
@@ -35,17 +35,18 @@
         self.read_at = 0.0
 
     def is_router(self, host: str) -> bool:
-        """Whether a router is at an IP number."""
+        """Whether a router is at an IP address."""
         if host in self.hosts:
             return True
         self.refresh_due.set()
         return False
 
     def refresh(self) -> None:
-        """Read the entries again, if somebody unknown asked or it is time.
+        """Read the entries again after an unknown sender, or periodically.
 
-        A list that may be seconds behind costs a tenth, and a router that is
-        not known yet goes by what it sees itself.
+        A list that may be seconds stale costs a tenth of a consistent one, and
+        a router that is not listed yet places by the loads that it sees
+        itself.
         """
         is_due = time.monotonic() - self.read_at > MAX_ROUTERS_AGE_S
         if not (self.refresh_due.is_set() or is_due):
@@ -55,7 +56,7 @@
             found = self.api.list_kind(KIND_ROUTERS, "list-routers", stale=True)
         except LacewingdockError as error:
             self.refresh_due.set()
-            log.info("routers not read", error=str(error))
+            log.info("list of routers not read", error=str(error))
             return
         self.read_at = time.monotonic()
         self.hosts = frozenset(
@@ -66,9 +67,9 @@
 
 
 def _address_of(spec: object) -> str | None:
-    """Return the IP number of an entry; None where it is none."""
+    """Return the IP address of an entry; None if it is malformed."""
     try:
         return host_of(msgspec.convert(spec, RouterEntry).address)
     except msgspec.ValidationError as error:
-        log.error("entry refused", error=str(error))
+        log.error("malformed router entry", error=str(error))
         return None
--- a/lacewingdock/components/relay/__init__.py
+++ b/lacewingdock/components/relay/__init__.py
@@ -1,14 +1,17 @@
-"""Support for passing the news of the platform's store on between routers.
+"""Support for relaying changes of the platform's store between routers.
 
 If each router watched the store, each change would cost as many calls as there
-are routers, and so would each watch that ends without news. Two routers of a
-group watch for it; the others ask them several times a second how young their
-copies are, and fetch what changed. Nobody is elected: whoever is asked watches.
-
-A copy is vouched for only up to the beginning of the last call that the store
-answered, told as an age. The asker counts it from the moment at which it sent
-its question, so no clocks are compared, and no delay on the way makes a copy
-younger than it is. A router whose copy grows too old asks the store itself.
+are routers, and so would each watch that ends without a change. Instead, two
+routers of a group watch the store for the whole group. The others, the
+followers, query these watchers several times a second for the age of their
+copies, and fetch the changes from them. There is no election: a router that is
+queried watches.
+
+A copy is confirmed only up to the beginning of the last call that the store
+answered. The confirmation is sent as an age, and the follower counts it from
+the moment at which it sent the query. So no clocks are compared, and no delay
+on the network makes a copy look fresher than it is. A router whose copy grows
+too old calls the store itself.
 """
 
 import zlib
@@ -20,11 +23,11 @@
 
 
 class FreshnessQuery(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Asks a router how young its copies are.
+    """Asks a router for the age of its copies.
 
     Attributes:
-        router: Who asks.
-        number: Tells its questions apart; the answer bears it.
+        router: Name of the router that asks.
+        number: Identifies the query; the answer repeats it.
     """
 
     router: str
@@ -32,13 +35,14 @@
 
 
 class KindState(msgspec.Struct, array_like=True, frozen=True):
-    """How complete a router's copy of a kind is.
+    """The revision and the age of a router's copy of a kind.
 
     Attributes:
         mark: Digest of the kind's name.
         changed: Revision of the last change in the copy.
         revision: Revision up to which the copy is complete.
-        age_ms: Milliseconds since the moment for which the store said so.
+        age_ms: Milliseconds since the moment for which the store confirmed
+            that revision.
     """
 
     mark: int
@@ -48,14 +52,15 @@
 
 
 class FreshnessReport(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Says how young a router's copies are.
+    """Reports the age of a router's copies.
 
     Attributes:
-        router: Whose copies.
-        number: The question that it answers; 0 where news is told unasked.
+        router: Name of the router that holds the copies.
+        number: Number of the query that it answers; 0 if unsolicited.
         kinds: The state of each copy.
         away: Whether the store does not answer this router.
-        doubt_ms: Milliseconds for which missing entries are still doubted.
+        doubt_ms: Milliseconds for which entries missing from the store's
+            lists are not yet treated as removed.
     """
 
     router: str
@@ -71,12 +76,12 @@
 
 
 def kind_digest(kind: str) -> int:
-    """Return the digest by which messages name a kind."""
+    """Return the digest that identifies a kind in messages."""
     return zlib.crc32(kind.encode())
 
 
 def encode(message: FreshnessQuery | FreshnessReport) -> bytes:
-    """Return a message as a datagram."""
+    """Encode a message as a datagram."""
     return msgspec.msgpack.encode(message)
 
 
@@ -84,11 +89,12 @@
     """Decode a datagram.
 
     Raises:
-        LacewingdockError: BAD_REQUEST.
+        LacewingdockError: BAD_REQUEST, for a malformed message or a value
+            out of its bounds.
     """
     found = decode_message(_DECODER, NAME, data)
     if isinstance(found, FreshnessReport) and not _is_valid(found):
-        raise bad_message(NAME, "a state that no copy has")
+        raise bad_message(NAME, "copy state out of bounds")
     return found
 
 
--- a/lacewingdock/components/relay/const.py
+++ b/lacewingdock/components/relay/const.py
@@ -1,50 +1,56 @@
-"""Constants of passing the store's news on between routers."""
+"""Constants of relaying the store's changes between routers."""
 
 from typing import Final
 
-# What the port is for, in errors and in the log.
+# Name of the port in errors and in the log.
 NAME: Final = "relay"
-# Watchers that each router listens to: one that dies, freezes or is cut off
-# costs calls of nobody else while the other one answers.
+# Watchers that each router follows: while one of them is dead, frozen or cut
+# off, the other one still answers, and the followers make no calls of their
+# own.
 WATCHERS_PER_GROUP: Final = 2
 # Routers that share the same watchers. A watcher answers each of them 1.25
-# times a second with some 150 bytes: 12 KB a second, two thirds of what control
-# may take.
+# times a second with some 150 bytes: 12 KB a second, two thirds of the
+# bandwidth allowed for control traffic.
 ROUTERS_PER_GROUP: Final = 64
-# How often a router asks, each time another of its watchers.
+# Seconds between a router's queries; they go to its watchers in turn.
 QUERY_INTERVAL_S: Final = 0.4
-# An answer that takes longer is none: a round trip takes milliseconds, a turn
-# of a busy router tens of them.
+# Seconds after which a query counts as unanswered. A round trip takes
+# milliseconds, and a busy router needs tens of milliseconds to answer.
 ANSWER_TIMEOUT_S: Final = 0.3
-# Questions in a row without an answer after which another router is asked, and
-# for how long the silent one is left alone: a restart takes a second or two.
+# Consecutive unanswered queries after which another router is queried instead,
+# and seconds for which the silent one is not queried: a restart takes a second
+# or two.
 MAX_MISSED_ANSWERS: Final = 2
 SILENT_WATCHER_PAUSE_S: Final = 5.0
-# A router that was asked watches for itself this long, and tells news to who
-# asked this lately: several questions, some of which may be lost.
+# Seconds for which a queried router watches the store, and for which it
+# announces changes to the router that queried it. This spans several queries,
+# as some of them may be lost.
 LISTENER_TTL_S: Final = 2.5
-# Without an answer for so long a router watches for itself although its copy is
-# young enough: it would see changes late, if within their bounds.
+# Seconds without an answer after which a router watches the store itself even
+# though its copy is fresh enough: otherwise it would see changes late, if
+# still within their bounds.
 WATCHER_TIMEOUT_S: Final = 1.2
-# How long a copy that others keep fresh is left alone before it is looked at
-# again: a wake-up of each mirror a second.
+# Seconds between checks of a copy that the watchers keep fresh: each mirror
+# wakes up once a second.
 RECHECK_S: Final = 1.0
-# For how long the word counts that the store does not answer a watcher. It is
-# renewed by each answer of one.
+# Seconds for which a watcher's report counts that the store does not answer
+# it. Each further answer of a watcher renews it.
 STORE_AWAY_TTL_S: Final = 2 * QUERY_INTERVAL_S + 0.2
-# Routers ask the store at an age that is drawn between this part of the limit
-# and all of it, so that not all ask at once where their watchers are gone.
+# Lower end of the jitter on the age limit, as a part of the limit. Each router
+# calls the store at an age drawn between this part and the full limit, so that
+# routers that lost their watchers do not all call at once.
 MIN_LIMIT_PART: Final = 0.9
-# For how long an answered call of its own tells a router that the store is
-# there for it, whatever a watcher says of itself: a watch and what follows it.
+# Seconds for which an answered call of its own shows a router that it reaches
+# the store, whatever a watcher reports of itself. This covers a watch and the
+# call that follows it.
 STORE_ANSWERED_TTL_S: Final = 2.5
-# Following pays where it makes the calls at most this part of what they are
-# if each router watches.
+# Routers follow watchers only where this reduces the calls to at most this part
+# of the calls made when each router watches the store itself.
 MAX_CALLS_PART: Final = 0.5
-# Longest message read.
+# Longest message that is read, in bytes.
 MAX_BYTES: Final = 2048
-# Kinds that a message tells of, at most.
+# Most kinds in a message.
 MAX_KINDS: Final = 16
-# Milliseconds that an age or a doubt may be: an hour. What is older says
-# nothing.
+# Longest age or doubt in a message, in milliseconds: an hour. Older
+# information is worthless.
 MAX_AGE_MS: Final = 3_600_000
--- a/lacewingdock/components/relay/follower.py
+++ b/lacewingdock/components/relay/follower.py
@@ -1,4 +1,4 @@
-"""Support for a router that takes the store's news from its watchers."""
+"""Support for a router that follows the store through its watchers."""
 
 import math
 import random
@@ -33,19 +33,19 @@
 
 log = get_logger("relay")
 
-# An age of a copy that nothing vouches for.
+# Moment of an event that has not happened.
 NEVER: Final = -math.inf
 
 
 @dataclass(slots=True)
 class _WatcherState:
-    """A router that is asked.
+    """The state of the queries to one watcher.
 
     Attributes:
-        number: The last question to it.
-        asked_at: When that was sent; 0 once it is answered.
-        missed: Questions in a row that it did not answer.
-        left_until: Until when it is not asked.
+        number: Number of the last query to it.
+        asked_at: Moment at which that was sent; 0 once it is answered.
+        missed: Consecutive queries that it did not answer.
+        paused_until: Moment until which it is not queried.
     """
 
     number: int = 0
@@ -55,22 +55,23 @@
 
 
 class Follower:
-    """Keeps a router's copies young by what its watchers say.
+    """Keeps a router's copies fresh by the reports of its watchers.
 
     Attributes:
         name: This router's name.
         mirrors: Its mirrors by kind.
         names: Returns the names of all routers.
-        fetch: Returns a router's news of a kind beyond a revision; None
+        fetch: Returns a router's changes of a kind after a revision; None
             without an answer.
-        limit_s: Returns how old a kind's copy may be, in seconds; 0 where
-            this router watches for itself.
-        clock: The time it goes by.
-        news: Set when something is to be fetched.
-        asked: The watcher that was asked last.
-        asked_until: Until when others count on this router to watch.
-        leads: Whether it is among the watchers itself.
-        fetches: News fetched so far.
+        limit_s: Returns the highest age of a kind's copy, in seconds; 0 where
+            this router watches the store itself.
+        clock: Source of the current time.
+        updates: Set when there are changes to fetch.
+        asked: The watcher that was queried last.
+        watch_until: Moment until which other routers rely on this one to
+            watch.
+        is_watcher: Whether this router is among its group's watchers.
+        fetches: Fetches of changes so far.
     """
 
     __slots__ = (
@@ -112,7 +113,7 @@
         source: random.Random,
         clock: Clock = STEADY,
     ) -> None:
-        """Take the parts; nothing is followed before a watcher answers."""
+        """Build a follower that calls the store until a watcher answers."""
         self.name = name
         self.mirrors = mirrors
         self.names = names
@@ -124,8 +125,8 @@
         self.watch_until = NEVER
         self.is_watcher = True
         self.fetches = 0
-        # Routers whose copies grow too old at the same moment ask the store
-        # one after the other.
+        # Routers whose copies reach the limit at the same moment call the
+        # store one after the other.
         self._limit_part = source.uniform(MIN_LIMIT_PART, 1.0)
         self._watchers: dict[str, _WatcherState] = {}
         self._pending_fetches: dict[str, str] = {}
@@ -143,10 +144,10 @@
         self._lock = threading.Lock()
 
     def kept_s(self, kind: str) -> float:
-        """Return for how many seconds a copy may be left to the watchers.
+        """Return for how long the watchers keep a copy fresh enough.
 
         Returns:
-            Seconds; 0 where this router must ask the store itself.
+            Seconds; 0 where this router must call the store itself.
         """
         now = self.clock.now()
         limit_s = self.limit_s(kind) * self._limit_part
@@ -160,7 +161,7 @@
         return min(max(rest_s, 0.0), RECHECK_S)
 
     def _waits_for_store(self, kind: str) -> bool:
-        """Whether there are news that are too long to be passed on."""
+        """Whether changes too large to be relayed must come from the store."""
         after = self._store_only.get(kind)
         if after is None:
             return False
@@ -168,26 +169,27 @@
         if (mirror.revision or 0) > after:
             del self._store_only[kind]
             return False
-        # They are there, so a watch that may wait ends at once, and has the
-        # time that they take on the way.
+        # The changes exist already, so a waiting watch returns at once and
+        # gets the time that their transfer takes.
         mirror.following = False
         return True
 
     @property
     def watches(self) -> bool:
-        """Whether this router watches for others, or for want of watchers."""
+        """Whether this router watches the store, for others or for itself."""
         return self.is_watcher or self.clock.now() < self.watch_until
 
     @property
     def doubtful(self) -> bool:
-        """Whether the store was away lately, by the watchers' words.
+        """Whether the store was away recently, by the watchers' reports.
 
-        One that is cut off from it alone says nothing of the store: another
-        one, or this router's own calls, show that it answers.
+        A report of a watcher that alone is cut off from the store does not
+        count: another watcher, or this router's own calls, show that the store
+        answers.
         """
         now = self.clock.now()
-        # A word from before the doubt began may come from a watcher that has
-        # not noticed the outage yet.
+        # A confirmation from before the doubt began may come from a watcher
+        # that has not detected the outage yet.
         sure_from = max(now - WATCHER_TIMEOUT_S, self._doubt_began_at)
         if any(at >= sure_from for at in list(self._confirmed_at.values())):
             return False
@@ -198,13 +200,14 @@
         return is_away or now < self._doubt_until
 
     def defers_to_watchers(self, called_at: float) -> bool:
-        """Whether watchers find out whether the store answers again.
+        """Whether the watchers probe in an outage if the store answers again.
 
-        Once it does for them, each router asks it once. One that it turns
-        away alone has its watchers' news meanwhile.
+        Once the store answers them, each router calls it once. A router that
+        the store alone does not answer receives changes from its watchers
+        meanwhile.
 
         Args:
-            called_at: When this router asked it last.
+            called_at: Moment at which this router last called the store.
         """
         now = self.clock.now()
         if self.watches or now - self._answered_at > WATCHER_TIMEOUT_S:
@@ -212,7 +215,10 @@
         return now < self._store_away_until or called_at > self._store_back_at
 
     def query(self) -> tuple[str, FreshnessQuery] | None:
-        """Return whom to ask now, and what; None where this router watches."""
+        """Return the next watcher and its query; None if there is none.
+
+        A router that is a watcher itself sends no queries.
+        """
         now = self.clock.now()
         with self._lock:
             self._expire_queries(now)
@@ -227,7 +233,11 @@
             return chosen, FreshnessQuery(self.name, self._last_number)
 
     def receive_report(self, report: FreshnessReport) -> None:
-        """Take a watcher's answer, or its unasked news."""
+        """Apply a watcher's answer, or its unsolicited report.
+
+        An answer to any but the last query is dropped: its age cannot be
+        counted from a known moment.
+        """
         if not report.number:
             self._fetch_missing(report)
             return
@@ -245,15 +255,15 @@
             self._apply_freshness(report, asked_at)
 
     def record_query(self) -> None:
-        """Note that another router counts on this one to watch."""
+        """Record that another router relies on this one to watch."""
         self.watch_until = self.clock.now() + LISTENER_TTL_S
 
     def record_store_answer(self) -> None:
-        """Note that the store answers this router."""
+        """Record that the store answered a call of this router."""
         self._store_answered_at = self.clock.now()
 
     def fetch_changes(self) -> None:
-        """Fetch what watchers told of."""
+        """Fetch the changes that watchers reported."""
         self.updates.clear()
         with self._lock:
             wanted, self._pending_fetches = self._pending_fetches, {}
@@ -264,12 +274,13 @@
         mirror = self.mirrors[kind]
         after, asked_at = mirror.revision, self.clock.now()
         if after is None:
-            # Its first copy is the store's.
+            # The first copy comes from the store.
             return
         self.fetches += 1
         copy = self.fetch(router, kind, after)
         if copy is None:
-            # The next answer has it fetched again, or the copy grows too old.
+            # The next answer triggers another fetch; otherwise the copy grows
+            # too old and this router calls the store.
             return
         if not copy.sure:
             self._record_doubt(router, asked_at)
@@ -282,7 +293,11 @@
         mirror.take_news(copy, after, asked_at)
 
     def _choose_watcher(self, now: float) -> str | None:
-        """Return the watcher to ask next; None where this router is one."""
+        """Return the watcher to query next.
+
+        Returns:
+            Its name; None if this router is a watcher or none is available.
+        """
         watchers: list[str] = []
         for name in self._ranked():
             known = self._watchers.get(name)
@@ -297,7 +312,7 @@
         return watchers[self._last_number % len(watchers)]
 
     def _ranked(self) -> list[str]:
-        """Return the ranking, which takes 1.6 ms anew at 1,200 routers."""
+        """Return the ranking, cached as it takes 1.6 ms at 1,200 routers."""
         names = frozenset(self.names())
         if names != self._ranked_names:
             self._ranked_names = names
@@ -313,7 +328,7 @@
             )
 
     def _expire_queries(self, now: float) -> None:
-        """Leave those alone that do not answer."""
+        """Count unanswered queries, and pause watchers that stay silent."""
         for name, watcher in self._watchers.items():
             if not watcher.asked_at:
                 continue
@@ -329,7 +344,7 @@
     def _apply_store_state(
         self, report: FreshnessReport, asked_at: float
     ) -> None:
-        """Take whether the store answers a watcher, by its last word."""
+        """Apply a watcher's report on whether the store answers it."""
         if not report.away and not report.doubt_ms:
             self._confirmed_at[report.router] = asked_at
             if asked_at < self._store_away_until:
@@ -344,14 +359,14 @@
             self._doubt_until = max(self._doubt_until, asked_at + doubt_s)
 
     def _record_doubt(self, router: str, at: float) -> None:
-        """Note that a watcher doubts, and when it began to."""
+        """Record when a watcher that confirmed the store began to doubt it."""
         if self._confirmed_at.pop(router, None) is not None:
             self._doubt_began_at = at
 
     def _apply_freshness(
         self, report: FreshnessReport, asked_at: float
     ) -> None:
-        """Take the ages of a watcher's copies."""
+        """Apply the ages of a watcher's copies to the mirrors."""
         for kind, state in self._states_by_kind(report):
             as_of = asked_at - state.age_ms / 1000
             if not self.mirrors[kind].vouch(
@@ -360,7 +375,7 @@
                 self._fetch_later(kind, report.router)
 
     def _fetch_missing(self, report: FreshnessReport) -> None:
-        """Have fetched what a watcher has and this router lacks."""
+        """Schedule a fetch of the changes that this router lacks."""
         for kind, state in self._states_by_kind(report):
             if state.changed > (self.mirrors[kind].revision or 0):
                 self._fetch_later(kind, report.router)
@@ -368,7 +383,7 @@
     def _states_by_kind(
         self, report: FreshnessReport
     ) -> list[tuple[str, KindState]]:
-        """Return what a message says of the kinds that are mirrored here."""
+        """Return the reported states of the kinds that are mirrored here."""
         states = {one.mark: one for one in report.kinds}
         return [
             (kind, states[mark])
--- a/lacewingdock/components/relay/port.py
+++ b/lacewingdock/components/relay/port.py
@@ -1,4 +1,4 @@
-"""Support for sending and taking the messages of watchers and followers."""
+"""Support for the datagrams between watchers and followers."""
 
 import threading
 from collections.abc import Callable
@@ -24,15 +24,15 @@
 
 
 class RelayPort:
-    """Asks, answers and tells by datagrams.
+    """Sends queries, answers them and announces changes by datagrams.
 
     Attributes:
-        datagrams: The port.
-        peer_port: The others' port, the same on all instances.
-        follower: What this router takes from others.
-        watcher: What it tells others.
-        host_of: Returns the IP number of a router by the platform's entries;
-            None where there is none of that name.
+        datagrams: The UDP port.
+        peer_port: Port of the other routers, the same on all instances.
+        follower: Handles the reports of other routers.
+        watcher: Builds the reports to other routers.
+        host_of: Returns the IP address of a router by the platform's entries;
+            None for an unknown name.
     """
 
     __slots__ = ("datagrams", "follower", "host_of", "peer_port", "watcher")
@@ -56,11 +56,11 @@
         self.host_of = host_of
 
     def listen(self, stopping: threading.Event) -> None:
-        """Take messages until the daemon stops."""
+        """Receive messages until the daemon stops."""
         self.datagrams.listen(self._receive, stopping)
 
     def send_queries(self, stopping: threading.Event) -> None:
-        """Ask and fetch until the daemon stops."""
+        """Send queries and fetch changes until the daemon stops."""
         clock = STEADY
         due = clock.now()
         while not stopping.is_set():
@@ -71,12 +71,13 @@
                     due = clock.now() + QUERY_INTERVAL_S
                     self._send_query()
             except Exception:
-                # A task that died unseen would leave this router to the store.
-                log.exception("not asked")
+                # If the task ended here, this router would depend on its own
+                # calls to the store for good.
+                log.exception("query or fetch failed")
                 due = clock.now() + QUERY_INTERVAL_S
 
     def announce(self) -> None:
-        """Tell those that asked lately that there is news."""
+        """Announce changes to the routers that queried this one recently."""
         listeners = self.watcher.listeners()
         if not listeners:
             return
@@ -95,12 +96,13 @@
             self._send(router, encode(query))
 
     def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
-        """Take a message from the router that it names.
+        """Handle a message, if it comes from the router that it names.
 
-        Whoever reaches the port could else keep a router from news.
+        Without this check any host that reaches the port could cut a router
+        off from changes.
 
         Raises:
-            LacewingdockError: BAD_REQUEST, if it is from somebody else.
+            LacewingdockError: BAD_REQUEST, if the sender is another one.
         """
         message = decode(data)
         if self.host_of(message.router) != sender[0]:
--- a/lacewingdock/components/relay/watcher.py
+++ b/lacewingdock/components/relay/watcher.py
@@ -1,4 +1,4 @@
-"""Support for a router that watches the store for others."""
+"""Support for a router that watches the store for other routers."""
 
 import math
 import threading
@@ -16,14 +16,14 @@
 
 
 class Watcher:
-    """Tells those that ask how young this router's copies are.
+    """Reports the age of this router's copies to its followers.
 
     Attributes:
         name: This router's name.
         mirrors: Its mirrors by kind.
-        health: What its calls show of the store.
-        clock: The time it goes by.
-        askers: When each router asked last.
+        health: Whether the store answers this router's calls.
+        clock: Source of the current time.
+        last_query_at: Moment of each router's last query, by its name.
     """
 
     __slots__ = ("_lock", "clock", "health", "last_query_at", "mirrors", "name")
@@ -35,7 +35,7 @@
         health: StoreHealth,
         clock: Clock = STEADY,
     ) -> None:
-        """Take the copies; nobody asked yet."""
+        """Build a watcher without followers from the router's copies."""
         self.name = name
         self.mirrors = mirrors
         self.health = health
@@ -44,13 +44,13 @@
         self._lock = threading.Lock()
 
     def answer(self, router: str, number: int) -> FreshnessReport:
-        """Return the answer to a router's question."""
+        """Record a router's query and return the answer."""
         with self._lock:
             self.last_query_at[router] = self.clock.now()
         return self._report(number)
 
     def listeners(self) -> list[str]:
-        """Return the routers that are told news unasked."""
+        """Return the routers that receive announcements of changes."""
         since = self.clock.now() - LISTENER_TTL_S
         with self._lock:
             self.last_query_at = {
@@ -61,7 +61,7 @@
             return list(self.last_query_at)
 
     def updates(self) -> FreshnessReport:
-        """Return what is told unasked."""
+        """Return the report that announces changes."""
         return self._report(0)
 
     def _report(self, number: int) -> FreshnessReport:
--- a/lacewingdock/components/relay/watcher_ranking.py
+++ b/lacewingdock/components/relay/watcher_ranking.py
@@ -1,4 +1,4 @@
-"""Support for who watches the platform's store for whom."""
+"""Support for the assignment of watchers to routers."""
 
 import zlib
 from collections.abc import Iterable
@@ -10,19 +10,19 @@
 
 
 def group_count(routers: int) -> int:
-    """Return in how many groups routers listen to watchers."""
+    """Return the number of groups that share watchers."""
     return max(round(routers / ROUTERS_PER_GROUP), 1)
 
 
 def rank_watchers(names: Iterable[str], name: str) -> list[str]:
-    """Return all routers, those first whom a router's group listens to.
+    """Return all routers, ranked as watchers of a router's group.
 
-    All routers that know the same names rank them alike, and one that comes or
-    goes changes nobody's watchers but those of the groups it watches for.
+    All routers that have the same names rank them alike. A router that joins or
+    leaves changes only the watchers of the groups that it watches for.
 
     Args:
-        names: All routers.
-        name: The router that listens.
+        names: Names of all routers.
+        name: The router that follows the watchers.
     """
     known = sorted(set(names) | {name})
     group = zlib.crc32(name.encode()) % group_count(len(known))
@@ -32,13 +32,13 @@
 def reduces_calls(
     routers: int, watch_s: float, renew_s: float, part: float
 ) -> bool:
-    """Whether few watchers make few calls.
+    """Whether following watchers reduces the calls to the store enough.
 
     Args:
-        routers: How many there are.
+        routers: Number of routers.
         watch_s: Seconds between calls of a router that watches for itself.
         renew_s: Seconds between calls of a watcher.
-        part: The part of the calls that may be left.
+        part: Highest part of the calls that may remain.
     """
     by_all = routers / watch_s
     by_few = WATCHERS_PER_GROUP * group_count(routers) / max(renew_s, 1e-3)
