--- a/lacewingdock/components/gossip/load.py
+++ b/lacewingdock/components/gossip/load.py
@@ -84,9 +84,9 @@
 
     def _add(self, rows: list[LoadRow], sign: int) -> None:
         for row in rows:
-            known = self._sums.get(row.mark, NO_WORK)
-            running = known.running + sign * row.running
-            unread = known.unread + sign * row.unread * UNREAD_UNIT_KTOKENS
+            previous = self._sums.get(row.mark, NO_WORK)
+            running = previous.running + sign * row.running
+            unread = previous.unread + sign * row.unread * UNREAD_UNIT_KTOKENS
             if running > 0:
                 self._sums[row.mark] = Work(running, max(unread, 0.0))
             else:
--- a/lacewingdock/components/gossip/port.py
+++ b/lacewingdock/components/gossip/port.py
@@ -144,9 +144,9 @@
     def _should_send(self, message: Message) -> bool:
         """Whether a message has new content or is due to be repeated."""
         now = time.monotonic()
-        told = self.last.content if self.last else EMPTY_CONTENT
-        is_due = now - self.last_sent_at >= REPEAT_S and any(told)
-        if message.content == told and not is_due:
+        sent = self.last.content if self.last else EMPTY_CONTENT
+        is_due = now - self.last_sent_at >= REPEAT_S and any(sent)
+        if message.content == sent and not is_due:
             return False
         self.last, self.last_sent_at, self.number = message, now, message.number
         return True
@@ -158,9 +158,9 @@
             The bytes sent, with the datagrams' headers.
         """
         others = self.others()
-        told = self.random.sample(others, min(FANOUT, len(others)))
-        for address in told:
+        targets = self.random.sample(others, min(FANOUT, len(others)))
+        for address in targets:
             self.datagrams.send(data, address)
-        spent = len(told) * (len(data) + HEADER_BYTES)
+        spent = len(targets) * (len(data) + HEADER_BYTES)
         self.sent_bytes += spent
         return spent
--- a/lacewingdock/components/probes/gauge.py
+++ b/lacewingdock/components/probes/gauge.py
@@ -54,10 +54,14 @@
         with self._lock:
             if self.report is None or now - self.read_at > MAX_REPORT_AGE_S:
                 return Load(number, 0, 0.0, lost=True)
-            known = list(self._expected.values())
-            coming = sum(not one.arrived and one.until >= now for one in known)
+            expected = list(self._expected.values())
+            coming = sum(
+                not one.arrived and one.until >= now for one in expected
+            )
             unread = sum(
-                one.unread for one in known if one.arrived or one.until >= now
+                one.unread
+                for one in expected
+                if one.arrived or one.until >= now
             )
             running = self.report.running + self.report.waiting + coming
         return Load(number, running, min(unread, MAX_UNREAD))
--- a/lacewingdock/components/relay/follower.py
+++ b/lacewingdock/components/relay/follower.py
@@ -300,8 +300,8 @@
         """
         watchers: list[str] = []
         for name in self._ranked():
-            known = self._watchers.get(name)
-            if known is not None and known.paused_until > now:
+            watcher_state = self._watchers.get(name)
+            if watcher_state is not None and watcher_state.paused_until > now:
                 continue
             watchers.append(name)
             if len(watchers) == WATCHERS_PER_GROUP:
--- a/lacewingdock/components/relay/watcher_ranking.py
+++ b/lacewingdock/components/relay/watcher_ranking.py
@@ -15,7 +15,7 @@
 
 
 def rank_watchers(names: Iterable[str], name: str) -> list[str]:
-    """Return all routers, ranked as watchers of a router's group.
+    """Return all routers, ranked; the first ones watch for a router's group.
 
     All routers that have the same names rank them alike. A router that joins or
     leaves changes only the watchers of the groups that it watches for.
@@ -24,9 +24,9 @@
         names: Names of all routers.
         name: The router that follows the watchers.
     """
-    known = sorted(set(names) | {name})
-    group = zlib.crc32(name.encode()) % group_count(len(known))
-    return sorted(known, key=lambda one: _rank_key(group, one))
+    members = sorted(set(names) | {name})
+    group = zlib.crc32(name.encode()) % group_count(len(members))
+    return sorted(members, key=lambda one: _rank_key(group, one))
 
 
 def reduces_calls(
--- a/tests/components/gossip/__init__.py
+++ b/tests/components/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what routers tell each other of their load."""
+"""Tests of the gossip between routers."""
--- a/tests/components/gossip/test_limits.py
+++ b/tests/components/gossip/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests that routers tell each other of the limits that instances name."""
+"""Tests that routers share the limits that instances name."""
 
 import random
 import threading
@@ -15,7 +15,7 @@
 
 
 def router(name, instances):
-    """Return the port of a router that knows some instances, and these."""
+    """Return the port of a router with some instances, and its directory."""
     directory = Directory()
     for number in range(instances):
         directory.take(entry(f"i-{number}", host=f"10.0.{number}.1"))
@@ -45,19 +45,19 @@
     return port, directory
 
 
-def test_limit_that_one_met_is_kept_by_all():
-    """Guards against: each router has to meet a limit itself.
+def test_limit_of_one_router_applies_to_all():
+    """Guards against each router having to run into a limit itself.
 
-    Symptom: an instance in need gets a request too many of every router.
+    An overloaded instance then gets one excess request from every router.
     """
-    told, directory = router("r-1", 70)
-    hearing, other = router("r-2", 70)
+    sender, directory = router("r-1", 70)
+    receiver, other = router("r-2", 70)
     head = AnswerHead(200, [], limit_per_s=2.0)
     for one in directory.instances.values():
         directory.signals.answered(one.entry, one.signals, head, 0.0)
-    message = decode(encode(told.compose(1)))
+    message = decode(encode(sender.compose(1)))
     assert len(message.limits) == MAX_LIMITS
-    for handler in hearing.handlers:
+    for handler in receiver.handlers:
         handler(message)
     now = other.clock.now()
     limits = [one.limit.at(now) for one in other.instances.values()]
@@ -66,7 +66,7 @@
 
 
 class Ending(Limit):
-    """A limit that ends while it is read."""
+    """A limit that ends between two reads."""
 
     @property
     def own_per_s(self):
@@ -78,21 +78,21 @@
         self.reads = 0
 
 
-def test_limit_that_ends_while_it_is_told_is_no_limit_of_nothing():
-    """Guards against: all others send next to nothing to a sound instance.
+def test_limit_that_ends_while_it_is_read_is_not_sent_as_zero():
+    """Guards against the other routers sending next to nothing to an instance.
 
-    Sequence: a task reads that there is a limit; an answer ends it; the task
-    reads how high it is.
+    A task reads that there is a limit, an answer ends the limit, and then the
+    task reads its rate.
     """
-    told, directory = router("r-1", 1)
+    sender, directory = router("r-1", 1)
     [instance] = directory.instances.values()
     instance.signals.limit = Ending()
     instance.limit.named_at = directory.clock.now()
-    assert [row.per_s for row in told.compose(1).limits] in ([3.0], [])
+    assert [row.per_s for row in sender.compose(1).limits] in ([3.0], [])
 
 
-def test_limit_that_ends_while_it_is_weighed_is_no_fault():
-    """Guards against: a request that fails since a limit ended meanwhile."""
+def test_limit_that_ends_while_it_is_applied_raises_nothing():
+    """Guards against a request that fails as a limit ended meanwhile."""
     limit = Ending(told_per_s=2.0, told_at=9.0, until=99.0)
     limit.reads = 0
     assert limit.at(10.0) == 2.0
--- a/tests/components/gossip/test_load.py
+++ b/tests/components/gossip/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of knowing what all routers have running."""
+"""Tests of the load that all routers have at the instances."""
 
 import random
 from collections import Counter
@@ -38,7 +38,7 @@
     return found
 
 
-def told(number, running, unread=0, start=1, router="r-1"):
+def load_message(number, running, unread=0, start=1, router="r-1"):
     return Message(router, start, number, [LoadRow(7, running, unread)])
 
 
@@ -46,45 +46,49 @@
     ("messages", "work"),
     [
         ([], Work()),
-        ([told(1, 2, 150)], Work(2, 1.5)),
-        # Each message replaces what its router told before.
-        ([told(1, 2, 150), told(2, 1, 50)], Work(1, 0.5)),
-        ([told(1, 2), Message("r-1", 1, 2)], Work()),
-        ([told(1, 2, 50), told(1, 3, 50, router="r-2")], Work(5, 1.0)),
-        # Datagrams overtake each other, or come twice.
-        ([told(2, 1), told(1, 9)], Work(1)),
-        ([told(1, 4), told(1, 4)], Work(4)),
-        # The router started again, and counts anew.
-        ([told(90, 9), told(1, 1, start=2)], Work(1)),
-        ([told(1, 1, start=2), told(91, 9)], Work(1)),
+        ([load_message(1, 2, 150)], Work(2, 1.5)),
+        # Each message replaces the previous one of its router.
+        ([load_message(1, 2, 150), load_message(2, 1, 50)], Work(1, 0.5)),
+        ([load_message(1, 2), Message("r-1", 1, 2)], Work()),
+        (
+            [load_message(1, 2, 50), load_message(1, 3, 50, router="r-2")],
+            Work(5, 1.0),
+        ),
+        # Datagrams arrive out of order, or twice.
+        ([load_message(2, 1), load_message(1, 9)], Work(1)),
+        ([load_message(1, 4), load_message(1, 4)], Work(4)),
+        # The router restarted, and its numbers begin anew.
+        ([load_message(90, 9), load_message(1, 1, start=2)], Work(1)),
+        ([load_message(1, 1, start=2), load_message(91, 9)], Work(1)),
     ],
 )
-def test_what_is_told_adds_up(clock, messages, work):
+def test_loads_of_routers_are_summed(clock, messages, work):
     found = FleetLoad()
     for message in messages:
         found.update(message)
     assert found.at(7) == work
 
 
-def test_what_is_not_repeated_is_forgotten(clock):
-    """Symptom: an instance is avoided though nothing runs there.
+def test_load_that_is_not_repeated_expires(clock):
+    """Guards against an instance that is avoided though it is idle.
 
-    Sequence: a router tells what it has there, and is killed. Cause: what it
-    told last was counted for good.
+    A router reports its load at the instance and is killed, and its last
+    report was counted forever.
     """
     found = FleetLoad()
-    found.update(told(1, 5))
+    found.update(load_message(1, 5))
     clock.now += STALE_S / 2
-    found.update(told(1, 2, router="r-2"))
+    found.update(load_message(1, 2, router="r-2"))
     clock.now += STALE_S / 2 + 0.01
     found.expire()
     assert found.at(7) == Work(2)
-    # Told by a clock that was set back: it counts once the old is forgotten.
-    found.update(told(1, 1, start=0))
+    # The clock that numbers the starts was set back: the new message counts
+    # once the old one expired.
+    found.update(load_message(1, 1, start=0))
     assert found.at(7) == Work(3)
 
 
-def test_rows_tell_where_something_runs_and_are_bounded():
+def test_rows_hold_busy_instances_and_are_bounded():
     found = directory([f"i-{n}" for n in range(300)])
     for number, one in enumerate(found.instances.values()):
         one.running = 1 if number else 0
@@ -98,8 +102,8 @@
 class Fleet:
     """Routers that choose among the same instances."""
 
-    def __init__(self, routers, instances, tells):
-        self.tells = tells
+    def __init__(self, routers, instances, exchanges):
+        self.exchanges = exchanges
         self.loads = [FleetLoad() for _ in range(routers)]
         self.directories = [
             directory([f"i-{n}" for n in range(instances)])
@@ -113,9 +117,9 @@
             chooser.others = load.at
         self.number = 0
 
-    def tell(self):
-        """Have every router tell all others."""
-        if not self.tells:
+    def exchange(self):
+        """Send every router's loads to all others."""
+        if not self.exchanges:
             return
         self.number += 1
         for sender, found in enumerate(self.directories):
@@ -126,39 +130,41 @@
 
 
 @pytest.mark.parametrize(
-    ("tells", "least", "most"), [(True, 3, 5), (False, 0, 9)]
+    ("exchanges", "least", "most"), [(True, 3, 5), (False, 0, 9)]
 )
-def test_long_prompts_do_not_meet_at_one_instance(clock, tells, least, most):
-    """Symptom: streams at one instance stall for seconds, others are idle.
-
-    Pattern: 26 routers before 24 instances, 96 long prompts at once; figures
-    as for the thesis repository's larger size. With two messages between each
-    round of choices every instance gets its four; without, some get none and
-    some twice as many.
+def test_long_prompts_do_not_meet_at_one_instance(
+    clock, exchanges, least, most
+):
+    """Guards against stalls at one instance while others are idle.
+
+    26 routers before 24 instances place 96 long prompts at once, as in the
+    larger deployment of the thesis repository. With two messages between each
+    round of choices every instance gets its four prompts; without messages
+    some get none and some twice as many.
     """
-    fleet = Fleet(routers=26, instances=24, tells=tells)
+    fleet = Fleet(routers=26, instances=24, exchanges=exchanges)
     source = random.Random(5)
     met = Counter()
     for _ in range(96):
         chooser = source.choice(fleet.choosers)
         chosen = chooser.choose("svc", lambda _: True, 10.0)
         met[chosen.entry.id] += 1
-        fleet.tell()
+        fleet.exchange()
     counts = [met[f"i-{n}"] for n in range(24)]
     assert least <= min(counts) <= max(counts) <= most
-    if not tells:
+    if not exchanges:
         assert max(counts) - min(counts) > 3
 
 
 @pytest.mark.parametrize("routers", [4, 68])
-def test_life_of_an_instance_is_known_to_all(clock, monkeypatch, routers):
-    """Symptom: of 68 routers each takes requests in a queue for lost.
-
-    Sequence: an instance runs sixteen streams of as many routers, and has more
-    requests in its queue. A router that has one of these alone hears nothing
-    from it, gives it up after its goal, and has its prompt read elsewhere.
-    Cause: a router went by what it heard itself; with four routers each has
-    some of the streams.
+def test_sign_of_life_reaches_all_routers(clock, monkeypatch, routers):
+    """Guards against routers giving up requests that only wait in a queue.
+
+    An instance runs sixteen streams of as many routers, and has more requests
+    in its queue. A router with only a queued request there receives nothing
+    from the instance, gives the request up after its goal, and has its prompt
+    read elsewhere, if it goes by the data that it received itself. It shows
+    with 68 routers; with four each router has some of the streams.
     """
     draw = random.Random(1)
     fleet = [directory("a") for _ in range(routers)]
@@ -175,9 +181,9 @@
             message = Message(f"r-{number}", 1, 1, load_rows(one))
             for other in draw.sample(fleet, min(25, routers)):
                 record_contacts(other, message)
-        known = [clock.now - one.instances["a"].alive_at for one in fleet]
+        ages = [clock.now - one.instances["a"].alive_at for one in fleet]
         if clock.now < silent_from:
-            assert max(known) <= 0.5
+            assert max(ages) <= 0.5
         else:
-            # Nobody's word makes a silent instance live.
-            assert min(known) >= clock.now - silent_from
+            # No report makes a silent instance look alive.
+            assert min(ages) >= clock.now - silent_from
--- a/tests/components/gossip/test_port.py
+++ b/tests/components/gossip/test_port.py
@@ -1,4 +1,4 @@
-"""Tests of the routers' messages and of the port that carries them."""
+"""Tests of gossip messages and of their port."""
 
 import math
 import random
@@ -34,7 +34,7 @@
 )
 
 
-def test_message_comes_back_as_it_was():
+def test_message_round_trip():
     assert decode(encode(FULL)) == FULL
 
 
@@ -59,14 +59,14 @@
         Message("r", 1, 1, limits=[LimitRow(1, 3.0, 60_001)]),
     ],
 )
-def test_what_no_router_tells_is_refused(message):
+def test_value_out_of_bounds_is_refused(message):
     with pytest.raises(LacewingdockError) as caught:
         decode(encode(message))
     assert caught.value.kind is ErrorKind.BAD_REQUEST
 
 
-def test_message_of_an_older_release_is_understood():
-    """Symptom: routers do not hear each other through an upgrade."""
+def test_message_of_another_release_is_decoded():
+    """Guards against routers that ignore each other during an upgrade."""
     fields = msgspec.msgpack.decode(encode(FULL))
     assert decode(msgspec.msgpack.encode(fields[:-1])).limits == []
     assert decode(msgspec.msgpack.encode([*fields, 5])) == FULL
@@ -74,7 +74,7 @@
 
 @fuzzed
 @given(st.binary(max_size=80) | json_bytes)
-def test_any_bytes_are_a_message_or_a_coded_error(data):
+def test_any_bytes_decode_or_raise_a_coded_error(data):
     coded(decode, data)
 
 
@@ -83,12 +83,12 @@
     others=(),
     at="127.0.0.1",
 ):
-    """Return a port on loopback and what it heard.
+    """Return a port on loopback and the list of messages that it received.
 
     Args:
-        compose: Returns what it tells.
-        others: Whom it tells.
-        at: Where the platform says that the others are.
+        compose: Returns the message to send.
+        others: Addresses of the other routers.
+        at: IP address of `router-1` by the platform's entries.
     """
     received = []
     found = GossipPort(
@@ -104,7 +104,7 @@
 
 
 def sent_to(receiver, *datagrams):
-    """Send datagrams to a port and let it take them all."""
+    """Send datagrams to a port and wait until it handled them all."""
     address = receiver.datagrams.sock.getsockname()
     stopping = threading.Event()
     task = threading.Thread(
@@ -129,11 +129,11 @@
     assert not task.is_alive()
 
 
-def test_messages_pass_and_odd_datagrams_do_not_stop_them():
-    """Symptom: a router hears of no load any more, until it is restarted.
+def test_malformed_datagram_does_not_end_the_receiving():
+    """Guards against a router that receives no load until it is restarted.
 
-    Sequence: a datagram of something else comes to its port. Cause: the task
-    that takes messages ended with its error.
+    A malformed datagram arrives at its port, and the error ended the task that
+    receives messages.
     """
     receiver, received = port()
     sent_to(receiver, b"\xff\xfe odd", encode(FULL))
@@ -144,19 +144,18 @@
 @pytest.mark.parametrize(
     ("message", "at"),
     [
-        # Its router is elsewhere.
+        # The router is at another address.
         (FULL, "127.0.0.2"),
         # There is no such router.
         (Message("router-9", 1, 1, [LoadRow(3, 4, 5)]), "127.0.0.1"),
         (Message("", 1, 1), "127.0.0.1"),
     ],
 )
-def test_only_the_router_that_a_message_names_is_heard(message, at):
-    """Symptom: an instance gets no work; a good version is rolled back.
+def test_message_with_a_forged_sender_is_refused(message, at):
+    """Guards against an instance without work, and a needless rollback.
 
-    Sequence: something that is no router sends a datagram in a router's name,
-    with a load of 10^15, a later start and a bad version. Cause: any sender
-    was believed.
+    A host that is no router sends a datagram in a router's name, with a load
+    of 10^15, a later start and a bad version, and no sender was checked.
     """
     receiver, received = port(at=at)
     sent_to(receiver, encode(message))
@@ -164,10 +163,10 @@
     assert receiver.datagrams.refused == 1
 
 
-def test_fault_of_a_listener_does_not_end_the_hearing():
-    """Symptom: a router hears of no load any more, until it is restarted.
+def test_error_of_a_handler_does_not_end_the_receiving():
+    """Guards against a router that receives no load until it is restarted.
 
-    Cause: an error of what is told of messages ended the task that takes them.
+    An error of a message handler ended the task that receives messages.
     """
     receiver, received = port()
     later = Message("router-1", 1, 3)
@@ -181,10 +180,10 @@
     assert received[0] == later
 
 
-def test_fault_in_what_is_told_does_not_end_the_telling():
-    """Symptom: the others reckon without a router, until it is restarted.
+def test_error_while_composing_does_not_end_the_sending():
+    """Guards against a router whose load is missing until it is restarted.
 
-    Cause: an error in what it was to tell ended the task that tells.
+    An error while composing a message ended the task that sends messages.
     """
     stopping = threading.Event()
     asked = []
@@ -207,7 +206,7 @@
     assert len(asked) == 2
 
 
-def test_only_news_is_told_and_repeated_while_it_holds(monkeypatch):
+def test_new_content_is_sent_and_repeated_unless_empty(monkeypatch):
     sent = []
     now = [100.0]
     monkeypatch.setattr(
@@ -215,7 +214,7 @@
     )
     found, _ = port()
     rows = [LoadRow(1, 2, 3)]
-    for moment, told in (
+    for moment, rows_sent in (
         (100.0, []),
         (100.1, rows),
         (100.2, rows),
@@ -224,7 +223,7 @@
         (109.0, []),
     ):
         now[0] = moment
-        message = Message("r", 1, found.number + 1, told)
+        message = Message("r", 1, found.number + 1, rows_sent)
         if found._should_send(message):
             sent.append((moment, message.number))
     found.close()
@@ -232,7 +231,10 @@
 
 
 def test_bytes_are_bounded():
-    """A large fleet is told less often: 25 of 1,200 routers, full messages."""
+    """Sends full messages to 25 of 1,200 routers.
+
+    The bytes sent set the pause before the next message.
+    """
     rows = [LoadRow(2**32 - n, 64, 10**6) for n in range(96)]
     others = [("127.0.0.1", 1)] * 1200
     found, _ = port(lambda n: Message("r" * 20, 1, n, rows), others)
--- a/tests/components/probes/__init__.py
+++ b/tests/components/probes/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of asking instances for their load."""
+"""Tests of probing instances for their load."""
--- a/tests/components/probes/test_asking.py
+++ b/tests/components/probes/test_asking.py
@@ -1,4 +1,4 @@
-"""Tests of asking sidecars over real sockets."""
+"""Tests of querying sidecars over real sockets."""
 
 import random
 import socket
@@ -27,20 +27,20 @@
 
 
 class Site:
-    """A router that asks, and a sidecar.
+    """A router's prober and a sidecar's port.
 
     Attributes:
-        gauge: What the sidecar knows.
-        known: IP numbers that the sidecar takes for routers.
+        gauge: The load of the sidecar's engine.
+        addresses: IP addresses that the sidecar accepts as routers.
         port: The sidecar's port.
-        prober: The router's side.
+        prober: The router's prober.
     """
 
     def __init__(self):
         self.gauge = EngineGauge()
-        self.known = {"127.0.0.1"}
+        self.addresses = {"127.0.0.1"}
         self.port = GaugePort(
-            ("127.0.0.2", 0), self.gauge, lambda host: host in self.known
+            ("127.0.0.2", 0), self.gauge, lambda host: host in self.addresses
         )
         number = self.port.datagrams.sock.getsockname()[1]
         self.prober = Prober("127.0.0.1", number, random.Random(1))
@@ -51,7 +51,7 @@
             ).start()
 
     def ask(self, *hosts):
-        """Ask until somebody answers: a busy machine may be slow."""
+        """Query until a sidecar answers: a busy machine may be slow."""
         end = time.monotonic() + WAIT_LONG_S
         while time.monotonic() < end:
             if found := self.prober.ask(hosts or ("127.0.0.2",)):
@@ -60,7 +60,7 @@
         return {}
 
     def close(self):
-        """End the tasks."""
+        """End the tasks and close the sockets."""
         self.stopping.set()
         for one in (self.port.datagrams, self.prober.datagrams):
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -76,7 +76,7 @@
     found.close()
 
 
-def test_load_and_promise(site):
+def test_load_and_notice(site):
     site.gauge.update(EngineLoad(2, 1), time.monotonic() + 60.0)
     assert site.ask()["127.0.0.2"].running == 3
     site.prober.announce("127.0.0.2", "a", 1.5)
@@ -84,13 +84,13 @@
     assert site.ask()["127.0.0.2"].unread in (0.0, 1.5)
 
 
-def test_silent_sidecar_costs_a_moment_and_then_nothing(site):
-    """Symptom: each request waits for a sidecar that is dead.
+def test_silent_sidecar_delays_one_query_and_then_none(site):
+    """Guards against each request waiting for a dead sidecar.
 
-    Sequence: it does not answer; it is asked before each choice. Cause: it
-    was not left alone.
+    Without a backoff the sidecar is queried before each choice, though it does
+    not answer.
     """
-    site.known.clear()
+    site.addresses.clear()
     start = time.monotonic()
     assert site.prober.ask(["127.0.0.2"]) == {}
     assert time.monotonic() - start >= ANSWER_TIMEOUT_S * 0.9
@@ -100,10 +100,10 @@
     assert site.prober.asked <= asked + 3
 
 
-def test_stranger_is_not_heard(site):
-    """Symptom: work is kept from an engine by whoever reaches its port."""
+def test_unknown_sender_is_refused(site):
+    """Guards against any host keeping work away from an engine."""
     site.gauge.update(EngineLoad(0, 0), time.monotonic() + 60.0)
-    site.known.clear()
+    site.addresses.clear()
     site.prober.announce("127.0.0.2", "a", 1.5)
     wait(lambda: site.port.datagrams.refused >= 1, WAIT_LONG_S)
     assert site.port.promised == 0
@@ -114,15 +114,15 @@
     "data",
     [b"nonsense", encode(LoadQuery(1)), encode(RequestNotice("a", 1.0))],
 )
-def test_what_is_no_answer_is_refused(site, data):
+def test_message_other_than_an_answer_is_refused(site, data):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.sendto(data, site.prober.datagrams.sock.getsockname())
     wait(lambda: site.prober.datagrams.refused == 1, WAIT_LONG_S)
 
 
-def test_answer_of_another_host_is_not_taken(site):
-    """Symptom: a router places by the word of whoever guesses a number."""
-    site.prober._pending = Everything(["127.0.0.2"])
+def test_answer_of_another_host_is_dropped(site):
+    """Guards against placement by the answer of a host that was not queried."""
+    site.prober._pending = AnyQuery(["127.0.0.2"])
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.3", 0))
         address = site.prober.datagrams.sock.getsockname()
@@ -132,13 +132,13 @@
     assert site.prober._pending.asked.loads == {}
 
 
-class Everything:
-    """Questions of any number, asked of some hosts."""
+class AnyQuery:
+    """Pending queries that hold one for any number, sent to some hosts."""
 
     def __init__(self, hosts):
         self.asked = type("Asked", (), {})()
         self.asked.hosts, self.asked.loads = hosts, {}
 
     def get(self, _):
-        """Return the question."""
+        """Return the query."""
         return self.asked
--- a/tests/components/probes/test_gauge.py
+++ b/tests/components/probes/test_gauge.py
@@ -1,4 +1,4 @@
-"""Tests of knowing what an engine has to do at this moment."""
+"""Tests of the current load of an engine."""
 
 import pytest
 
@@ -30,25 +30,25 @@
     return None if load.lost else (load.running, load.unread)
 
 
-def test_what_is_promised_counts_until_it_comes(time):
-    """Symptom: 68 routers choose the same idle engine.
+def test_announced_request_counts_until_it_arrives(time):
+    """Guards against 68 routers choosing the same idle engine.
 
-    Sequence: each asks, and hears that nothing runs there; the first one's
-    request has not come yet. Cause: what was decided was not counted.
+    Each of them queries the engine and receives that nothing runs there, as
+    the first router's request has not arrived yet and was not counted.
     """
     found = gauge(time)
     assert figures(found) == (4, 0.0)
     found.expect(RequestNotice("a", 2.5))
     found.expect(RequestNotice("b", 1.0))
     assert figures(found) == (6, 3.5)
-    # One came and is read; the other one's answer began.
+    # One request arrived and is read; the answer to the other one began.
     found.update(EngineLoad(5, 1, {"a": 0, "b": 3}), time.now())
     assert figures(found) == (6, 2.5)
     found.update(EngineLoad(4, 1, {"b": 9}), time.now())
     assert figures(found) == (5, 0.0)
 
 
-def test_promise_that_is_not_taken_up_lapses(time):
+def test_announced_request_that_does_not_arrive_expires(time):
     found = gauge(time)
     found.expect(RequestNotice("a", 2.5))
     time.time += EXPECTED_TTL_S + 0.01
@@ -57,17 +57,17 @@
 
 
 @pytest.mark.parametrize("late_s", [MAX_REPORT_AGE_S + 0.01, 60.0])
-def test_engine_whose_report_is_old_is_lost(time, late_s):
-    """Symptom: requests go to an engine that is dark.
+def test_engine_with_a_stale_report_is_lost(time, late_s):
+    """Guards against requests to an engine that does not answer.
 
-    Sequence: it answers nobody; its sidecar goes on telling the last report.
+    The engine answers no calls, and its sidecar keeps sending the last report.
     """
     found = gauge(time)
     time.time += late_s
     assert figures(found) is None
 
 
-def test_engine_that_started_again_owes_nothing(time):
+def test_restarted_engine_has_no_announced_requests(time):
     found = gauge(time)
     found.expect(RequestNotice("a", 2.5))
     found.update(None, time.now())
@@ -76,7 +76,7 @@
     assert figures(found) == (0, 0.0)
 
 
-def test_promises_are_bounded(time):
+def test_announced_requests_are_bounded(time):
     found = gauge(time, 0, 0)
     for number in range(MAX_EXPECTED_REQUESTS + 50):
         found.expect(RequestNotice(f"r-{number}", 0.0))
--- a/tests/components/probes/test_messages.py
+++ b/tests/components/probes/test_messages.py
@@ -21,7 +21,7 @@
     "message",
     [LoadQuery(2**31), Load(3, 17, 4.5), RequestNotice("c" * 64, MAX_UNREAD)],
 )
-def test_there_and_back(message):
+def test_message_round_trip(message):
     data = encode(message)
     assert decode(data) == message
     assert len(data) < MAX_BYTES
@@ -37,7 +37,7 @@
         RequestNotice("c", MAX_UNREAD * 2),
     ],
 )
-def test_nonsense_is_refused(message):
+def test_value_out_of_bounds_is_refused(message):
     with pytest.raises(LacewingdockError) as caught:
         decode(encode(message))
     assert caught.value.kind is ErrorKind.BAD_REQUEST
@@ -45,13 +45,13 @@
 
 @fuzzed
 @given(st.binary(max_size=80) | json_bytes)
-def test_any_bytes_are_a_message_or_a_coded_error(data):
+def test_any_bytes_decode_or_raise_a_coded_error(data):
     coded(decode, data)
 
 
 @fuzzed
 @given(st.binary(max_size=80) | json_bytes)
-def test_any_report_is_read_or_a_coded_error(data):
+def test_any_report_decodes_or_raises_a_coded_error(data):
     coded(decode_report, data)
 
 
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("body", [b"{}", b'{"active":-1,"queued":0}', b"[]"])
-def test_what_is_no_report_is_a_coded_error(body):
+def test_malformed_report_raises_a_coded_error(body):
     with pytest.raises(LacewingdockError) as caught:
         decode_report(body)
     assert caught.value.kind is ErrorKind.UPSTREAM_FAILED
--- a/tests/components/relay/__init__.py
+++ b/tests/components/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of passing the news of the store on."""
+"""Tests of relaying the store's changes between routers."""
--- a/tests/components/relay/test_messages.py
+++ b/tests/components/relay/test_messages.py
@@ -26,7 +26,7 @@
         FreshnessReport("r-2", 0, []),
     ],
 )
-def test_there_and_back(message):
+def test_message_round_trip(message):
     assert decode(encode(message)) == message
 
 
@@ -41,7 +41,7 @@
         FreshnessReport("r", 1, [STATE] * (MAX_KINDS + 1)),
     ],
 )
-def test_state_that_no_copy_has_is_refused(message):
+def test_state_out_of_bounds_is_refused(message):
     with pytest.raises(LacewingdockError) as caught:
         decode(encode(message))
     assert caught.value.kind is ErrorKind.BAD_REQUEST
@@ -57,5 +57,5 @@
 
 @fuzzed
 @given(st.binary(max_size=80) | json_bytes)
-def test_any_bytes_are_a_message_or_a_coded_error(data):
+def test_any_bytes_decode_or_raise_a_coded_error(data):
     coded(decode, data)
--- a/tests/components/relay/test_port.py
+++ b/tests/components/relay/test_port.py
@@ -1,4 +1,4 @@
-"""Tests of asking and telling over real sockets."""
+"""Tests of queries, answers and announcements over real sockets."""
 
 import random
 import socket
@@ -30,28 +30,28 @@
 WAIT_S = 5.0
 
 
-class Listens:
-    """Notes what a mirror tells."""
+class RecordingListener:
+    """Records the objects that a mirror reports."""
 
     def __init__(self):
         self.found = {}
 
     def replace(self, snapshot, *, doubtful):
-        """Take a whole list in."""
+        """Store a complete list."""
         self.found = dict(snapshot.objects)
 
     def change(self, change, *, doubtful):
-        """Take one change in."""
+        """Store a changed object."""
         self.found[change.object.name] = change.object
 
 
 def mirror():
-    """Return a mirror with a copy of revision 1 that never calls."""
+    """Return a mirror with a copy of revision 1 that never calls the store."""
     found = Mirror(
         KIND,
         ObjectApi("http://127.0.0.1:1"),
         StoreHealth(1.0),
-        Listens(),
+        RecordingListener(),
         lambda *_: Copy(False),
         random.Random(1),
         lambda: 1.0,
@@ -61,11 +61,11 @@
 
 
 class Site:
-    """A router's port, and a socket in the place of all other routers.
+    """A router's port, and a socket that stands in for all other routers.
 
     Attributes:
-        mirror: The router's copy.
-        fetched: What it fetched, as (router, kind, revision).
+        mirror: The router's mirror.
+        fetched: Its fetches, as (router, kind, revision).
         port: The port.
         other: The socket.
     """
@@ -90,7 +90,8 @@
         self.other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.other.bind(("127.0.0.1", 0))
         self.other.settimeout(WAIT_S)
-        # The port is the same on all instances; here both are on one.
+        # All routers use the same port on separate instances. Here both sockets
+        # share an instance, so the ports differ.
         self.port.peer_port = self.other.getsockname()[1]
         self.stopping = threading.Event()
         self.start(self.port.listen)
@@ -110,7 +111,7 @@
         return decode(self.other.recv(2048))
 
     def close(self):
-        """End the tasks."""
+        """End the tasks and close the sockets."""
         self.stopping.set()
         self.send(b"")
         self.port.close()
@@ -130,7 +131,7 @@
     found.close()
 
 
-def test_question_is_answered_and_news_told(site):
+def test_query_is_answered_and_changes_are_announced(site):
     site.send(encode(FreshnessQuery("r-3", 77)))
     answer = site.receive()
     assert (answer.router, answer.number) == ("r-0", 77)
@@ -140,7 +141,7 @@
     assert site.receive().number == 0
 
 
-def test_watcher_keeps_the_copy_young_and_is_fetched_from(site):
+def test_watcher_keeps_the_copy_fresh_and_serves_changes(site):
     site.mirror.as_of = 0.0
     site.start(site.port.send_queries)
     number = site.receive().number
@@ -150,9 +151,11 @@
     wait(lambda: site.mirror.revision == 5, WAIT_S)
     assert time.monotonic() - site.mirror.as_of < WAIT_S
     assert site.follower.kept_s(KIND) > 0
-    # News that it lacks is fetched, once.
-    told = FreshnessReport(watcher, 0, [KindState(kind_digest(KIND), 9, 9, 0)])
-    site.send(encode(told))
+    # Announced changes that the copy lacks are fetched, once.
+    report = FreshnessReport(
+        watcher, 0, [KindState(kind_digest(KIND), 9, 9, 0)]
+    )
+    site.send(encode(report))
     wait(lambda: site.mirror.revision == 9, WAIT_S)
     assert site.fetched == [(watcher, KIND, 5)]
     assert "a" in site.mirror.listener.found
@@ -171,19 +174,19 @@
         ),
     ],
 )
-def test_what_no_router_sent_is_refused(site, data):
-    """Symptom: a router is kept from news by whoever reaches its port."""
+def test_message_from_an_unknown_sender_is_refused(site, data):
+    """Guards against any host cutting a router off from changes."""
     site.send(data)
     wait(lambda: site.port.datagrams.refused == 1, WAIT_S)
     assert site.fetched == []
     assert not site.watcher.listeners()
 
 
-def test_answer_to_another_question_vouches_for_nothing(site):
-    """Symptom: a copy counts as younger than it is.
+def test_answer_to_another_query_is_dropped(site):
+    """Guards against a copy that counts as fresher than it is.
 
-    Sequence: an answer comes late, after the next question went out. Cause: it
-    was counted from the later one.
+    An answer arrives late, after the next query was sent, and its age was
+    counted from the later query.
     """
     name, query = site.follower.query()
     site.mirror.as_of = 0.0
--- a/tests/components/relay/test_watcher_ranking.py
+++ b/tests/components/relay/test_watcher_ranking.py
@@ -1,4 +1,4 @@
-"""Tests of who watches the store for whom."""
+"""Tests of the assignment of watchers to routers."""
 
 from collections import Counter
 
@@ -19,41 +19,44 @@
     return [f"front-d-{number}" for number in range(count)]
 
 
-def watchers(known):
-    """Return the watchers that each router listens to."""
+def watchers(names_of_all):
+    """Return the watchers that each router follows."""
     return {
-        name: rank_watchers(known, name)[:WATCHERS_PER_GROUP] for name in known
+        name: rank_watchers(names_of_all, name)[:WATCHERS_PER_GROUP]
+        for name in names_of_all
     }
 
 
 @pytest.mark.parametrize("count", [1, 4, 68, 300, 1200])
 def test_load_of_a_watcher_does_not_grow_with_the_fleet(count):
-    known = names(count)
+    names_of_all = names(count)
     listeners = Counter(
-        watcher for found in watchers(known).values() for watcher in found
+        watcher
+        for found in watchers(names_of_all).values()
+        for watcher in found
     )
     assert len(listeners) <= WATCHERS_PER_GROUP * group_count(count)
-    # A router may watch for two groups, which are of like size by a hash.
+    # A router may watch for two groups; the hash makes them similar in size.
     assert max(listeners.values()) <= 3 * ROUTERS_PER_GROUP
 
 
 def test_routers_of_a_group_agree():
-    known = names(68)
-    assert len({tuple(found) for found in watchers(known).values()}) == 1
+    names_of_all = names(68)
+    assert len({tuple(found) for found in watchers(names_of_all).values()}) == 1
 
 
 @pytest.mark.parametrize("count", [68, 300, 1200])
-def test_one_that_goes_moves_few(count):
-    known = names(count)
-    before = watchers(known)
-    gone = known[count // 2]
-    after = watchers([name for name in known if name != gone])
+def test_leaving_router_changes_only_its_followers(count):
+    names_of_all = names(count)
+    before = watchers(names_of_all)
+    gone = names_of_all[count // 2]
+    after = watchers([name for name in names_of_all if name != gone])
     moved = sum(before[name] != after[name] for name in after)
     assert moved == sum(gone in before[name] for name in after)
 
 
 @pytest.mark.parametrize(
-    ("routers", "watch_s", "renew_s", "pays"),
+    ("routers", "watch_s", "renew_s", "reduces"),
     [
         (4, 2.0, 1.8, False),
         (68, 2.0, 1.8, True),
@@ -63,5 +66,7 @@
         (68, 2.0, 0.0, False),
     ],
 )
-def test_pays_where_it_halves_the_calls(routers, watch_s, renew_s, pays):
-    assert reduces_calls(routers, watch_s, renew_s, 0.5) is pays
+def test_watchers_are_used_where_they_halve_the_calls(
+    routers, watch_s, renew_s, reduces
+):
+    assert reduces_calls(routers, watch_s, renew_s, 0.5) is reduces
