--- a/lacewingdock/components/gossip/__init__.py
+++ b/lacewingdock/components/gossip/__init__.py
@@ -122,7 +122,7 @@
 
     @property
     def content(self) -> tuple[list[Any], ...]:
-        """The payload, without the sender, numbers and ages."""
+        """The payload, without sender, numbers, ages of loads and of limits."""
         rows = [(row.mark, row.running, row.unread) for row in self.rows]
         limits = [(limit.mark, limit.per_s) for limit in self.limits]
         return rows, self.sessions, self.bad, self.replaced, limits
--- a/lacewingdock/components/relay/follower.py
+++ b/lacewingdock/components/relay/follower.py
@@ -157,8 +157,8 @@
             return 0.0
         if self._waits_for_store(kind):
             return 0.0
-        rest_s = self.mirrors[kind].as_of + limit_s - now
-        return min(max(rest_s, 0.0), RECHECK_S)
+        remaining_s = self.mirrors[kind].as_of + limit_s - now
+        return min(max(remaining_s, 0.0), RECHECK_S)
 
     def _waits_for_store(self, kind: str) -> bool:
         """Whether changes too large to be relayed must come from the store."""
@@ -190,8 +190,8 @@
         now = self.clock.now()
         # A confirmation from before the doubt began may come from a watcher
         # that has not detected the outage yet.
-        sure_from = max(now - WATCHER_TIMEOUT_S, self._doubt_began_at)
-        if any(at >= sure_from for at in list(self._confirmed_at.values())):
+        valid_from = max(now - WATCHER_TIMEOUT_S, self._doubt_began_at)
+        if any(at >= valid_from for at in list(self._confirmed_at.values())):
             return False
         is_away = (
             now < self._store_away_until
@@ -235,8 +235,8 @@
     def receive_report(self, report: FreshnessReport) -> None:
         """Apply a watcher's answer, or its unsolicited report.
 
-        An answer to any but the last query is dropped: its age cannot be
-        counted from a known moment.
+        An answer to any but the last query to its sender is dropped: its age
+        would be counted from the wrong moment.
         """
         if not report.number:
             self._fetch_missing(report)
@@ -266,8 +266,8 @@
         """Fetch the changes that watchers reported."""
         self.updates.clear()
         with self._lock:
-            wanted, self._pending_fetches = self._pending_fetches, {}
-        for kind, router in wanted.items():
+            pending, self._pending_fetches = self._pending_fetches, {}
+        for kind, router in pending.items():
             self._fetch(kind, router)
 
     def _fetch(self, kind: str, router: str) -> None:
@@ -372,13 +372,13 @@
             if not self.mirrors[kind].vouch(
                 state.changed, state.revision, as_of
             ):
-                self._fetch_later(kind, report.router)
+                self._schedule_fetch(kind, report.router)
 
     def _fetch_missing(self, report: FreshnessReport) -> None:
         """Schedule a fetch of the changes that this router lacks."""
         for kind, state in self._states_by_kind(report):
             if state.changed > (self.mirrors[kind].revision or 0):
-                self._fetch_later(kind, report.router)
+                self._schedule_fetch(kind, report.router)
 
     def _states_by_kind(
         self, report: FreshnessReport
@@ -391,7 +391,7 @@
             if (mark := kind_digest(kind)) in states
         ]
 
-    def _fetch_later(self, kind: str, router: str) -> None:
+    def _schedule_fetch(self, kind: str, router: str) -> None:
         if kind in self._store_only:
             return
         with self._lock:
