--- a/lacewingdock/components/gossip/load.py
+++ b/lacewingdock/components/gossip/load.py
@@ -1,4 +1,4 @@
-"""Support for knowing what all routers have running at the instances."""
+"""Support for the load that all routers have at the instances."""
 
 import math
 import threading
@@ -6,22 +6,23 @@
 from dataclasses import dataclass
 from typing import Final
 
-from lacewingdock.components.gossip import MAX_ROWS, STALE_S, Message, Row
+from lacewingdock.components.gossip import MAX_ROWS, STALE_S, LoadRow, Message
 from lacewingdock.components.upstreams.directory import Directory
 
-# What was silent for longer shows no life; waits for a sign of it are shorter.
-QUIET_MOST_MS: Final = 10_000
-# Unread work counts thousands of tokens, in messages tens of them.
-UNREAD_UNIT: Final = 0.01
+# Longest silence of an instance that is reported, in milliseconds. All timeouts
+# that wait for a sign of life are shorter.
+MAX_QUIET_MS: Final = 10_000
+# Thousands of tokens per unit of `unread` in messages, which is ten tokens.
+UNREAD_UNIT_KTOKENS: Final = 0.01
 
 
 @dataclass(slots=True, frozen=True)
 class Work:
-    """What is to be done at an instance.
+    """The pending work at an instance.
 
     Attributes:
-        running: Requests there.
-        unread: What those whose answers have not begun have to read, in
+        running: Requests that run at the instance.
+        unread: Prompt tokens of those whose answers have not begun, in
             thousands of tokens of the largest model.
     """
 
@@ -29,37 +30,37 @@
     unread: float = 0.0
 
 
-NOTHING: Final = Work()
+NO_WORK: Final = Work()
 
 
 @dataclass(slots=True)
-class _Heard:
+class _RouterLoads:
     at: float
     order: tuple[int, int]
-    rows: list[Row]
+    rows: list[LoadRow]
 
 
 class FleetLoad:
-    """What all other routers have running; safe to use from any task.
+    """The load of all other routers; safe to use from any task.
 
     Attributes:
-        routers: What each told last.
+        routers: The last loads received from each router, by its name.
     """
 
     __slots__ = ("_lock", "_sums", "routers")
 
     def __init__(self) -> None:
-        """Start without having heard anything."""
-        self.routers: dict[str, _Heard] = {}
+        """Start without the load of any router."""
+        self.routers: dict[str, _RouterLoads] = {}
         self._sums: dict[int, Work] = {}
         self._lock = threading.Lock()
 
     def at(self, mark: int) -> Work:
-        """Return what others have at the instance with a digest."""
-        return self._sums.get(mark, NOTHING)
+        """Return the other routers' work at the instance with a digest."""
+        return self._sums.get(mark, NO_WORK)
 
-    def hear(self, message: Message) -> None:
-        """Take what a router told; what it told before that is void."""
+    def update(self, message: Message) -> None:
+        """Replace a router's loads, unless the message is out of order."""
         order = (message.start, message.number)
         with self._lock:
             before = self.routers.get(message.router)
@@ -67,47 +68,50 @@
                 if before.order >= order:
                     return
                 self._add(before.rows, -1)
-            self.routers[message.router] = _Heard(
+            self.routers[message.router] = _RouterLoads(
                 time.monotonic(), order, message.rows
             )
             self._add(message.rows, 1)
 
-    def forget(self) -> None:
-        """Drop what is too old to count."""
+    def expire(self) -> None:
+        """Drop the loads of routers whose last message is stale."""
         old = time.monotonic() - STALE_S
         with self._lock:
-            for name, heard in list(self.routers.items()):
-                if heard.at < old:
-                    self._add(heard.rows, -1)
+            for name, received in list(self.routers.items()):
+                if received.at < old:
+                    self._add(received.rows, -1)
                     del self.routers[name]
 
-    def _add(self, rows: list[Row], sign: int) -> None:
+    def _add(self, rows: list[LoadRow], sign: int) -> None:
         for row in rows:
-            known = self._sums.get(row.mark, NOTHING)
-            running = known.running + sign * row.running
-            unread = known.unread + sign * row.unread * UNREAD_UNIT
+            previous = self._sums.get(row.mark, NO_WORK)
+            running = previous.running + sign * row.running
+            unread = previous.unread + sign * row.unread * UNREAD_UNIT_KTOKENS
             if running > 0:
                 self._sums[row.mark] = Work(running, max(unread, 0.0))
             else:
                 self._sums.pop(row.mark, None)
 
 
-def hear_life(directory: Directory, message: Message) -> None:
-    """Take which instances another router heard lately."""
+def record_contacts(directory: Directory, message: Message) -> None:
+    """Record when another router last received data from instances."""
     now = time.monotonic()
     for row in message.rows:
-        if 0 <= row.quiet_ms <= QUIET_MOST_MS:
+        if 0 <= row.quiet_ms <= MAX_QUIET_MS:
             directory.received_by_peer(row.mark, now - row.quiet_ms / 1000)
 
 
-def rows_of(directory: Directory) -> list[Row]:
-    """Return what this router has at the instances, the most work first."""
+def load_rows(directory: Directory) -> list[LoadRow]:
+    """Return this router's load at the instances.
+
+    Above `MAX_ROWS` the instances with the most work are kept, the most first.
+    """
     now = time.monotonic()
     rows = [
-        Row(
+        LoadRow(
             one.mark,
             one.running,
-            max(round(one.unread / UNREAD_UNIT), 0),
+            max(round(one.unread / UNREAD_UNIT_KTOKENS), 0),
             _quiet_ms(now - one.last_received_at),
         )
         for one in list(directory.instances.values())
@@ -120,6 +124,10 @@
 
 
 def _quiet_ms(quiet_s: float) -> int:
-    """Return for how long an instance was silent, rounded up."""
+    """Return the silence of an instance in milliseconds, rounded up.
+
+    Returns:
+        Milliseconds; -1 beyond `MAX_QUIET_MS`.
+    """
     quiet_ms = math.ceil(quiet_s * 1000)
-    return quiet_ms if 0 <= quiet_ms <= QUIET_MOST_MS else -1
+    return quiet_ms if 0 <= quiet_ms <= MAX_QUIET_MS else -1
--- a/lacewingdock/components/probes/gauge.py
+++ b/lacewingdock/components/probes/gauge.py
@@ -1,41 +1,41 @@
-"""Support for knowing what an engine has to do at this moment."""
+"""Support for the current load of an engine."""
 
 import threading
 from dataclasses import dataclass
 
-from lacewingdock.components.probes import Load, Promise
+from lacewingdock.components.probes import Load, RequestNotice
 from lacewingdock.components.probes.const import (
-    MAX_PROMISES,
+    EXPECTED_TTL_S,
+    MAX_EXPECTED_REQUESTS,
+    MAX_REPORT_AGE_S,
     MAX_UNREAD,
-    PROMISE_S,
-    REPORT_LATE_S,
 )
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.world.engine_load import EngineLoad
 
 
 @dataclass(slots=True)
-class _Expected:
-    """A request that was promised.
+class _ExpectedRequest:
+    """A request that a router announced.
 
     Attributes:
-        unread: What it has still to read.
-        until: When it is forgotten unless it comes.
-        came: Whether the engine reported it.
+        unread: Its unread prompt tokens, in thousands.
+        until: Moment until which it counts if it does not arrive.
+        arrived: Whether the engine reported it.
     """
 
     unread: float
     until: float
-    came: bool = False
+    arrived: bool = False
 
 
 class EngineGauge:
-    """An engine's load: its last report, and what was promised since.
+    """The load of an engine: its last report and the requests announced since.
 
     Attributes:
-        clock: The time it goes by.
-        report: The last report; None where it can't be read.
-        read_at: When that was asked for.
+        clock: Source of the current time.
+        report: The last report; None if it can't be read.
+        read_at: Moment at which the read of it began.
     """
 
     __slots__ = ("_expected", "_lock", "clock", "read_at", "report")
@@ -45,38 +45,42 @@
         self.clock = clock
         self.report: EngineLoad | None = None
         self.read_at = 0.0
-        self._expected: dict[str, _Expected] = {}
+        self._expected: dict[str, _ExpectedRequest] = {}
         self._lock = threading.Lock()
 
     def load(self, number: int) -> Load:
-        """Return the answer to a question."""
+        """Return the answer to the query with a number."""
         now = self.clock.now()
         with self._lock:
-            if self.report is None or now - self.read_at > REPORT_LATE_S:
+            if self.report is None or now - self.read_at > MAX_REPORT_AGE_S:
                 return Load(number, 0, 0.0, lost=True)
-            known = list(self._expected.values())
-            coming = sum(not one.came and one.until >= now for one in known)
+            expected = list(self._expected.values())
+            coming = sum(
+                not one.arrived and one.until >= now for one in expected
+            )
             unread = sum(
-                one.unread for one in known if one.came or one.until >= now
+                one.unread
+                for one in expected
+                if one.arrived or one.until >= now
             )
             running = self.report.running + self.report.waiting + coming
         return Load(number, running, min(unread, MAX_UNREAD))
 
-    def promise(self, promise: Promise) -> None:
-        """Expect a request; it counts until it comes, or for a moment."""
-        until = self.clock.now() + PROMISE_S
+    def expect(self, notice: RequestNotice) -> None:
+        """Count an announced request until it arrives or expires."""
+        until = self.clock.now() + EXPECTED_TTL_S
         with self._lock:
-            if len(self._expected) < MAX_PROMISES:
-                self._expected[promise.request] = _Expected(
-                    promise.unread, until
+            if len(self._expected) < MAX_EXPECTED_REQUESTS:
+                self._expected[notice.request] = _ExpectedRequest(
+                    notice.unread, until
                 )
 
-    def take(self, report: EngineLoad | None, asked_at: float) -> None:
-        """Take a report, or that there is none.
+    def update(self, report: EngineLoad | None, asked_at: float) -> None:
+        """Store a report, and update the announced requests by it.
 
         Args:
-            report: The report.
-            asked_at: When it was asked for.
+            report: The report; None if it can't be read.
+            asked_at: Moment at which the read began.
         """
         now = self.clock.now()
         with self._lock:
@@ -87,7 +91,7 @@
             for request, one in list(self._expected.items()):
                 events = report.events.get(request)
                 if events is not None:
-                    one.came = True
+                    one.arrived = True
                     one.unread = 0.0 if events else one.unread
-                elif one.came or one.until < now:
+                elif one.arrived or one.until < now:
                     del self._expected[request]
--- a/lacewingdock/components/probes/prober.py
+++ b/lacewingdock/components/probes/prober.py
@@ -1,4 +1,4 @@
-"""Support for a router that asks instances for their load."""
+"""Support for a router that probes instances for their load."""
 
 import random
 import threading
@@ -7,66 +7,66 @@
 
 from lacewingdock.components.probes import (
     Load,
-    Promise,
-    Question,
+    LoadQuery,
+    RequestNotice,
     decode,
     encode,
 )
 from lacewingdock.components.probes.const import (
+    ANSWER_TIMEOUT_S,
     MAX_BYTES,
+    MAX_SILENT_BACKOFF_S,
     NAME,
-    SILENT_MOST_S,
-    SILENT_S,
-    WAIT_S,
+    SILENT_BACKOFF_S,
 )
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.datagrams import DatagramPort, bad_message
 
 
 @dataclass(slots=True)
-class _Asked:
-    """A question that waits for its answers.
+class _PendingQuery:
+    """A query that waits for its answers.
 
     Attributes:
-        hosts: Who was asked.
-        loads: What they answered.
-        whole: Set once all did.
+        hosts: The hosts that were queried.
+        loads: The loads received so far, by host.
+        complete: Set once all hosts answered.
     """
 
     hosts: Collection[str]
     loads: dict[str, Load] = field(default_factory=dict)
-    whole: threading.Event = field(default_factory=threading.Event)
+    complete: threading.Event = field(default_factory=threading.Event)
 
 
 @dataclass(slots=True)
-class _Silent:
+class _SilentHost:
     """A host that did not answer.
 
     Attributes:
-        until: Until when it is not asked.
-        rest_s: For how long it was left alone last.
+        until: Moment until which it is not queried.
+        backoff_s: Length of that pause, in seconds.
     """
 
     until: float
-    rest_s: float
+    backoff_s: float
 
 
 class Prober:
-    """Asks sidecars for their instances' load; safe to use from any task.
+    """Queries sidecars for their instances' load; safe to use from any task.
 
     Attributes:
-        datagrams: A port of its own.
-        port: Where sidecars take questions, the same on all instances.
-        clock: The time it goes by.
-        asked: Questions sent.
-        answered: Answers that came in time.
+        datagrams: The UDP port of the prober.
+        port: Port of the sidecars, the same on all instances.
+        clock: Source of the current time.
+        asked: Queries sent.
+        answered: Answers received in time.
     """
 
     __slots__ = (
+        "_last_number",
         "_lock",
-        "_numbers",
+        "_pending",
         "_silent",
-        "_waiting",
         "answered",
         "asked",
         "clock",
@@ -81,13 +81,13 @@
         source: random.Random,
         clock: Clock = STEADY,
     ) -> None:
-        """Bind a port of its own.
+        """Bind a free port.
 
         Args:
-            address: This router's IP number.
-            port: Where sidecars take questions.
-            source: Source of draws.
-            clock: The time it goes by.
+            address: This router's IP address.
+            port: Port of the sidecars.
+            source: Source of randomness.
+            clock: Source of the current time.
 
         Raises:
             LacewingdockError: PORT_TAKEN or BAD_SETTING.
@@ -97,75 +97,83 @@
         self.clock = clock
         self.asked = 0
         self.answered = 0
-        self._numbers = source.randrange(2**31)
-        self._waiting: dict[int, _Asked] = {}
-        self._silent: dict[str, _Silent] = {}
+        self._last_number = source.randrange(2**31)
+        self._pending: dict[int, _PendingQuery] = {}
+        self._silent: dict[str, _SilentHost] = {}
         self._lock = threading.Lock()
 
     def ask(self, hosts: Collection[str]) -> dict[str, Load]:
-        """Return the loads of those that answer in time, by host."""
+        """Query hosts, except those in backoff.
+
+        Returns:
+            The loads of the hosts that answer in time, by host.
+        """
         now = self.clock.now()
         with self._lock:
-            asked = _Asked([one for one in hosts if self._is_due(one, now)])
+            asked = _PendingQuery(
+                [one for one in hosts if self._is_due(one, now)]
+            )
             if not asked.hosts:
                 return {}
-            self._numbers += 1
-            number = self._numbers
-            self._waiting[number] = asked
+            self._last_number += 1
+            number = self._last_number
+            self._pending[number] = asked
             self.asked += len(asked.hosts)
-        data = encode(Question(number))
+        data = encode(LoadQuery(number))
         for host in asked.hosts:
             self.datagrams.send(data, (host, self.port))
-        asked.whole.wait(WAIT_S)
+        asked.complete.wait(ANSWER_TIMEOUT_S)
         with self._lock:
-            del self._waiting[number]
-            self._count(asked, now)
+            del self._pending[number]
+            self._record_answers(asked, now)
             return dict(asked.loads)
 
-    def promise(self, host: str, request: str, unread: float) -> None:
-        """Tell a host's sidecar that a request is about to come."""
-        data = encode(Promise(request, unread))
+    def announce(self, host: str, request: str, unread: float) -> None:
+        """Announce a request to a host's sidecar before it is sent."""
+        data = encode(RequestNotice(request, unread))
         self.datagrams.send(data, (host, self.port))
 
     def listen(self, stopping: threading.Event) -> None:
-        """Take answers until the daemon stops."""
-        self.datagrams.listen(self._take, stopping)
+        """Receive answers until the daemon stops."""
+        self.datagrams.listen(self._receive, stopping)
 
     def close(self) -> None:
         """Close the port."""
         self.datagrams.close()
 
-    def _take(self, data: bytes, sender: tuple[str, int]) -> None:
-        """Take an answer, from whom a question went to only.
+    def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
+        """Store an answer, if its sender was queried.
 
         Raises:
-            LacewingdockError: BAD_REQUEST, if it is none.
+            LacewingdockError: BAD_REQUEST, if the message is no answer.
         """
         found = decode(data)
         if not isinstance(found, Load):
-            raise bad_message(NAME, "no answer")
+            raise bad_message(NAME, "a message other than an answer")
         host = sender[0]
         with self._lock:
-            asked = self._waiting.get(found.number)
+            asked = self._pending.get(found.number)
             if asked is None or host not in asked.hosts:
-                # It came late, which is no fault.
+                # A late answer is no error.
                 return
             asked.loads[host] = found
             if len(asked.loads) == len(asked.hosts):
-                asked.whole.set()
+                asked.complete.set()
 
     def _is_due(self, host: str, now: float) -> bool:
         silent = self._silent.get(host)
         return silent is None or silent.until <= now
 
-    def _count(self, asked: _Asked, now: float) -> None:
-        """Note who answered and who did not."""
+    def _record_answers(self, asked: _PendingQuery, now: float) -> None:
+        """Count the answers, and back off from the hosts that sent none."""
         self.answered += len(asked.loads)
         for host in asked.hosts:
             if host in asked.loads:
                 self._silent.pop(host, None)
                 continue
             before = self._silent.get(host)
-            rest_s = SILENT_S if before is None else 2 * before.rest_s
-            rest_s = min(rest_s, SILENT_MOST_S)
-            self._silent[host] = _Silent(now + rest_s, rest_s)
+            backoff_s = (
+                SILENT_BACKOFF_S if before is None else 2 * before.backoff_s
+            )
+            backoff_s = min(backoff_s, MAX_SILENT_BACKOFF_S)
+            self._silent[host] = _SilentHost(now + backoff_s, backoff_s)
--- a/lacewingdock/components/probes/routers.py
+++ b/lacewingdock/components/probes/routers.py
@@ -1,11 +1,11 @@
-"""Support for a sidecar to know which senders are routers."""
+"""Support for a sidecar to recognize routers by their IP addresses."""
 
 import threading
 import time
 
 import msgspec
 
-from lacewingdock.components.probes.const import KNOWN_MOST_S
+from lacewingdock.components.probes.const import MAX_ROUTERS_AGE_S
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.platform.object_api import ObjectApi
@@ -14,61 +14,62 @@
 log = get_logger("probes")
 
 
-class KnownRouters:
-    """The routers' IP numbers, by the platform's entries.
+class RouterAddresses:
+    """The routers' IP addresses, by the platform's entries.
 
     Attributes:
         api: The platform's store.
-        hosts: The IP numbers.
-        unknown: Set when somebody else asked since they were read.
-        read_at: When they were read.
+        hosts: The IP addresses.
+        refresh_due: Set when an unknown sender queried since they were read.
+        read_at: Monotonic time at which they were read.
     """
 
-    __slots__ = ("api", "hosts", "read_at", "unknown")
+    __slots__ = ("api", "hosts", "read_at", "refresh_due")
 
     def __init__(self, api: ObjectApi) -> None:
-        """Know nobody yet."""
+        """Start without addresses, and have them read."""
         self.api = api
         self.hosts: frozenset[str] = frozenset()
-        self.unknown = threading.Event()
-        self.unknown.set()
+        self.refresh_due = threading.Event()
+        self.refresh_due.set()
         self.read_at = 0.0
 
-    def is_one(self, host: str) -> bool:
-        """Whether a router is at an IP number."""
+    def is_router(self, host: str) -> bool:
+        """Whether a router is at an IP address."""
         if host in self.hosts:
             return True
-        self.unknown.set()
+        self.refresh_due.set()
         return False
 
     def refresh(self) -> None:
-        """Read the entries again, if somebody unknown asked or it is time.
+        """Read the entries again after an unknown sender, or periodically.
 
-        A list that may be seconds behind costs a tenth, and a router that is
-        not known yet goes by what it sees itself.
+        A list that may be seconds stale costs a tenth of a consistent one, and
+        a router that is not listed yet places by the loads that it sees
+        itself.
         """
-        is_due = time.monotonic() - self.read_at > KNOWN_MOST_S
-        if not (self.unknown.is_set() or is_due):
+        is_due = time.monotonic() - self.read_at > MAX_ROUTERS_AGE_S
+        if not (self.refresh_due.is_set() or is_due):
             return
-        self.unknown.clear()
+        self.refresh_due.clear()
         try:
             found = self.api.list_kind(KIND_ROUTERS, "list-routers", stale=True)
         except LacewingdockError as error:
-            self.unknown.set()
-            log.info("routers not read", error=str(error))
+            self.refresh_due.set()
+            log.info("list of routers not read", error=str(error))
             return
         self.read_at = time.monotonic()
         self.hosts = frozenset(
             host
             for one in found.objects.values()
-            if (host := _host(one.spec)) is not None
+            if (host := _address_of(one.spec)) is not None
         )
 
 
-def _host(spec: object) -> str | None:
-    """Return the IP number of an entry; None where it is none."""
+def _address_of(spec: object) -> str | None:
+    """Return the IP address of an entry; None if it is malformed."""
     try:
         return host_of(msgspec.convert(spec, RouterEntry).address)
     except msgspec.ValidationError as error:
-        log.error("entry refused", error=str(error))
+        log.error("malformed router entry", error=str(error))
         return None
--- a/lacewingdock/components/relay/port.py
+++ b/lacewingdock/components/relay/port.py
@@ -1,15 +1,19 @@
-"""Support for sending and taking the messages of watchers and followers."""
+"""Support for the datagrams between watchers and followers."""
 
 import threading
 from collections.abc import Callable
 
 from lacewingdock.components.relay import (
-    Question,
-    Voucher,
+    FreshnessQuery,
+    FreshnessReport,
     decode,
     encode,
 )
-from lacewingdock.components.relay.const import ASK_S, MAX_BYTES, NAME
+from lacewingdock.components.relay.const import (
+    MAX_BYTES,
+    NAME,
+    QUERY_INTERVAL_S,
+)
 from lacewingdock.components.relay.follower import Follower
 from lacewingdock.components.relay.watcher import Watcher
 from lacewingdock.helpers.clock import STEADY
@@ -20,15 +24,15 @@
 
 
 class RelayPort:
-    """Asks, answers and tells by datagrams.
+    """Sends queries, answers them and announces changes by datagrams.
 
     Attributes:
-        datagrams: The port.
-        peer_port: The others' port, the same on all instances.
-        follower: What this router takes from others.
-        watcher: What it tells others.
-        host_of: Returns the IP number of a router by the platform's entries;
-            None where there is none of that name.
+        datagrams: The UDP port.
+        peer_port: Port of the other routers, the same on all instances.
+        follower: Handles the reports of other routers.
+        watcher: Builds the reports to other routers.
+        host_of: Returns the IP address of a router by the platform's entries;
+            None for an unknown name.
     """
 
     __slots__ = ("datagrams", "follower", "host_of", "peer_port", "watcher")
@@ -52,31 +56,32 @@
         self.host_of = host_of
 
     def listen(self, stopping: threading.Event) -> None:
-        """Take messages until the daemon stops."""
-        self.datagrams.listen(self._take, stopping)
+        """Receive messages until the daemon stops."""
+        self.datagrams.listen(self._receive, stopping)
 
-    def ask(self, stopping: threading.Event) -> None:
-        """Ask and fetch until the daemon stops."""
+    def send_queries(self, stopping: threading.Event) -> None:
+        """Send queries and fetch changes until the daemon stops."""
         clock = STEADY
         due = clock.now()
         while not stopping.is_set():
-            clock.wait(self.follower.news, max(due - clock.now(), 0.0))
+            clock.wait(self.follower.updates, max(due - clock.now(), 0.0))
             try:
-                self.follower.fetch_news()
+                self.follower.fetch_changes()
                 if clock.now() >= due:
-                    due = clock.now() + ASK_S
-                    self._ask()
+                    due = clock.now() + QUERY_INTERVAL_S
+                    self._send_query()
             except Exception:
-                # A task that died unseen would leave this router to the store.
-                log.exception("not asked")
-                due = clock.now() + ASK_S
+                # If the task ended here, this router would depend on its own
+                # calls to the store for good.
+                log.exception("query or fetch failed")
+                due = clock.now() + QUERY_INTERVAL_S
 
-    def tell(self) -> None:
-        """Tell those that asked lately that there is news."""
+    def announce(self) -> None:
+        """Announce changes to the routers that queried this one recently."""
         listeners = self.watcher.listeners()
         if not listeners:
             return
-        data = encode(self.watcher.news())
+        data = encode(self.watcher.updates())
         for router in listeners:
             self._send(router, data)
 
@@ -84,30 +89,31 @@
         """Close the port."""
         self.datagrams.close()
 
-    def _ask(self) -> None:
-        found = self.follower.question()
+    def _send_query(self) -> None:
+        found = self.follower.query()
         if found is not None:
-            router, question = found
-            self._send(router, encode(question))
+            router, query = found
+            self._send(router, encode(query))
 
-    def _take(self, data: bytes, sender: tuple[str, int]) -> None:
-        """Take a message from the router that it names.
+    def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
+        """Handle a message, if it comes from the router that it names.
 
-        Whoever reaches the port could else keep a router from news.
+        Without this check any host that reaches the port could cut a router
+        off from changes.
 
         Raises:
-            LacewingdockError: BAD_REQUEST, if it is from somebody else.
+            LacewingdockError: BAD_REQUEST, if the sender is another one.
         """
         message = decode(data)
         if self.host_of(message.router) != sender[0]:
             raise not_from(NAME, message.router)
         match message:
-            case Question(router, number):
-                self.follower.heard_of()
+            case FreshnessQuery(router, number):
+                self.follower.record_query()
                 answer = self.watcher.answer(router, number)
                 self._send(router, encode(answer))
-            case Voucher():
-                self.follower.hear(message)
+            case FreshnessReport():
+                self.follower.receive_report(message)
 
     def _send(self, router: str, data: bytes) -> None:
         host = self.host_of(router)
--- a/lacewingdock/components/shifts/__init__.py
+++ b/lacewingdock/components/shifts/__init__.py
@@ -15,8 +15,8 @@
 
 from lacewingdock.components.gossip import (
     MAX_SESSIONS,
-    KeptSession,
     Message,
+    PinnedSession,
 )
 from lacewingdock.components.shifts.const import (
     MAX_UNSEEN_S,
@@ -205,14 +205,14 @@
         with self._lock:
             shift.apply_report(report)
 
-    def sessions_to_keep(self) -> list[KeptSession]:
+    def sessions_to_keep(self) -> list[PinnedSession]:
         """Return the sessions that other routers would move too early.
 
         All routers select the same sessions for the new version, but a router
         that has not served a session, or was restarted since, treats it as new.
         So while sessions must stay, the routers that track them gossip them.
         """
-        found: list[KeptSession] = []
+        found: list[PinnedSession] = []
         for service, shift in list(self.running.items()):
             if not shift.keeps_sessions or shift.found_bad:
                 continue
--- a/lacewingdock/components/shifts/pins.py
+++ b/lacewingdock/components/shifts/pins.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from lacewingdock.components.gossip import KeptSession
+from lacewingdock.components.gossip import PinnedSession
 
 # Seconds added to the longest pause of a session: the pause counts from a
 # request's end, and a running request keeps its session, but the time recorded
@@ -51,7 +51,7 @@
             return None
         return pin[0]
 
-    def of_service(self, service: str) -> list[KeptSession]:
+    def of_service(self, service: str) -> list[PinnedSession]:
         """Return the sessions of a service that have not expired.
 
         Ages are rounded up. Rounded down, a session that two routers report to
@@ -60,12 +60,12 @@
         now = time.monotonic()
         with self._lock:
             return [
-                KeptSession(name, session, version, math.ceil(now - at))
+                PinnedSession(name, session, version, math.ceil(now - at))
                 for (name, session), (version, at) in self._pins.items()
                 if name == service and now - at <= self.retention_s
             ]
 
-    def receive(self, reported: KeptSession) -> None:
+    def receive(self, reported: PinnedSession) -> None:
         """Apply another router's session unless this router's is newer."""
         key = (reported.service, reported.session)
         at = time.monotonic() - reported.age_s
--- a/lacewingdock/components/upstreams/choice.py
+++ b/lacewingdock/components/upstreams/choice.py
@@ -7,11 +7,14 @@
 from dataclasses import dataclass
 from typing import Final
 
-from lacewingdock.components.gossip.load import NOTHING, Work
+from lacewingdock.components.gossip.load import NO_WORK, Work
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.pacing.const import COLD_PENALTY
 from lacewingdock.components.probes import Load
-from lacewingdock.components.probes.const import ASKED, FULL_WEIGHT
+from lacewingdock.components.probes.const import (
+    PROBED_INSTANCES,
+    QUEUED_REQUEST_WEIGHT,
+)
 from lacewingdock.components.probes.prober import Prober
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import (
@@ -80,7 +83,7 @@
         self.directory = directory
         self.failure_domain = failure_domain
         self.random = source
-        self.others: Callable[[int], Work] = lambda _: NOTHING
+        self.others: Callable[[int], Work] = lambda _: NO_WORK
         self.changed = threading.Event()
         self.prober: Prober | None = None
         self.pacer: Pacer | None = None
@@ -127,7 +130,7 @@
                 )
             self._add_request(chosen, unread, now)
         if chosen in loads and self.prober is not None:
-            self.prober.promise(chosen.entry.host, request, unread)
+            self.prober.announce(chosen.entry.host, request, unread)
         return chosen
 
     def reserve(
@@ -350,8 +353,8 @@
                 self.random.random(),
             ),
         )
-        better = by_load[: max(len(by_load) // 2, ASKED)]
-        return self.random.sample(better, min(ASKED, len(better)))
+        better = by_load[: max(len(by_load) // 2, PROBED_INSTANCES)]
+        return self.random.sample(better, min(PROBED_INSTANCES, len(better)))
 
     def _probe(
         self, candidates: Sequence[UpstreamInstance]
@@ -407,7 +410,9 @@
         """
         running = max(reported[instance].running, instance.running)
         load = running + UNREAD_WEIGHT * reported[instance].unread
-        load += FULL_WEIGHT * max(running + 1 - instance.entry.slots, 0)
+        load += QUEUED_REQUEST_WEIGHT * max(
+            running + 1 - instance.entry.slots, 0
+        )
         return load + self._penalty(instance, now), self.random.random()
 
     def _load(self, instance: UpstreamInstance, now: float) -> float:
--- a/tests/components/gossip/test_port.py
+++ b/tests/components/gossip/test_port.py
@@ -1,4 +1,4 @@
-"""Tests of the routers' messages and of the port that carries them."""
+"""Tests of gossip messages and of their port."""
 
 import math
 import random
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 
 from lacewingdock.components.gossip import (
-    KeptSession,
     LimitRow,
+    LoadRow,
     Message,
-    Row,
+    PinnedSession,
     decode,
     encode,
 )
@@ -26,28 +26,28 @@
     "router-1",
     1,
     2,
-    [Row(3, 4, 5)],
-    [KeptSession("svc", "s", "v1", 2)],
+    [LoadRow(3, 4, 5)],
+    [PinnedSession("svc", "s", "v1", 2)],
     [("svc", "v2")],
     [17],
     [LimitRow(3, 0.5, 40)],
 )
 
 
-def test_message_comes_back_as_it_was():
+def test_message_round_trip():
     assert decode(encode(FULL)) == FULL
 
 
 @pytest.mark.parametrize(
     "message",
     [
-        Message("r", 1, 1, [Row(1, -1, 0)]),
-        Message("r", 1, 1, [Row(1, 1, -5)]),
-        Message("r", 1, 1, [Row(n, 1, 0) for n in range(97)]),
-        Message("r", 1, 1, [], [KeptSession("a", "b", "c", -1)]),
-        Message("r", 1, 1, [], [KeptSession("a", "b", "c", 1)] * 65),
-        Message("r", 1, 1, [Row(1, 10_001, 0)]),
-        Message("r", 1, 1, [Row(1, 1, 10**15)]),
+        Message("r", 1, 1, [LoadRow(1, -1, 0)]),
+        Message("r", 1, 1, [LoadRow(1, 1, -5)]),
+        Message("r", 1, 1, [LoadRow(n, 1, 0) for n in range(97)]),
+        Message("r", 1, 1, [], [PinnedSession("a", "b", "c", -1)]),
+        Message("r", 1, 1, [], [PinnedSession("a", "b", "c", 1)] * 65),
+        Message("r", 1, 1, [LoadRow(1, 10_001, 0)]),
+        Message("r", 1, 1, [LoadRow(1, 1, 10**15)]),
         Message("r", 1, 1, bad=[("svc", "v2")] * 65),
         Message("r", 1, 1, replaced=[1] * 129),
         Message("r", 1, 1, limits=[LimitRow(1, 3.0, 5)] * 65),
@@ -59,14 +59,14 @@
         Message("r", 1, 1, limits=[LimitRow(1, 3.0, 60_001)]),
     ],
 )
-def test_what_no_router_tells_is_refused(message):
+def test_value_out_of_bounds_is_refused(message):
     with pytest.raises(LacewingdockError) as caught:
         decode(encode(message))
     assert caught.value.kind is ErrorKind.BAD_REQUEST
 
 
-def test_message_of_an_older_release_is_understood():
-    """Symptom: routers do not hear each other through an upgrade."""
+def test_message_of_another_release_is_decoded():
+    """Guards against routers that ignore each other during an upgrade."""
     fields = msgspec.msgpack.decode(encode(FULL))
     assert decode(msgspec.msgpack.encode(fields[:-1])).limits == []
     assert decode(msgspec.msgpack.encode([*fields, 5])) == FULL
@@ -74,7 +74,7 @@
 
 @fuzzed
 @given(st.binary(max_size=80) | json_bytes)
-def test_any_bytes_are_a_message_or_a_coded_error(data):
+def test_any_bytes_decode_or_raise_a_coded_error(data):
     coded(decode, data)
 
 
@@ -83,104 +83,107 @@
     others=(),
     at="127.0.0.1",
 ):
-    """Return a port on loopback and what it heard.
+    """Return a port on loopback and the list of messages that it received.
 
     Args:
-        compose: Returns what it tells.
-        others: Whom it tells.
-        at: Where the platform says that the others are.
+        compose: Returns the message to send.
+        others: Addresses of the other routers.
+        at: IP address of `router-1` by the platform's entries.
     """
-    heard = []
+    received = []
     found = GossipPort(
         ("127.0.0.1", 0),
         compose,
-        [heard.append],
+        [received.append],
         lambda: list(others),
         lambda router, host: (router, host) == ("router-1", at),
         threading.Event(),
         random.Random(1),
     )
-    return found, heard
+    return found, received
 
 
-def sent_to(taker, *datagrams):
-    """Send datagrams to a port and let it take them all."""
-    address = taker.datagrams.sock.getsockname()
+def sent_to(receiver, *datagrams):
+    """Send datagrams to a port and wait until it handled them all."""
+    address = receiver.datagrams.sock.getsockname()
     stopping = threading.Event()
-    task = threading.Thread(target=taker.listen, args=(stopping,), daemon=True)
+    task = threading.Thread(
+        target=receiver.listen, args=(stopping,), daemon=True
+    )
     task.start()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         for data in datagrams:
             sender.sendto(data, address)
         last = Message("last", 1, 1)
-        taken, is_at = threading.Event(), taker.is_at
-        taker.is_at = lambda *who: who[0] == "last" or is_at(*who)
-        taker.hear.append(lambda one: taken.set() if one == last else None)
+        taken, is_at = threading.Event(), receiver.is_at
+        receiver.is_at = lambda *who: who[0] == "last" or is_at(*who)
+        receiver.handlers.append(
+            lambda one: taken.set() if one == last else None
+        )
         sender.sendto(encode(last), address)
         assert taken.wait(5.0)
         stopping.set()
         sender.sendto(encode(last), address)
     task.join(5.0)
-    taker.close()
+    receiver.close()
     assert not task.is_alive()
 
 
-def test_messages_pass_and_odd_datagrams_do_not_stop_them():
-    """Symptom: a router hears of no load any more, until it is restarted.
+def test_malformed_datagram_does_not_end_the_receiving():
+    """Guards against a router that receives no load until it is restarted.
 
-    Sequence: a datagram of something else comes to its port. Cause: the task
-    that takes messages ended with its error.
+    A malformed datagram arrives at its port, and the error ended the task that
+    receives messages.
     """
-    taker, heard = port()
-    sent_to(taker, b"\xff\xfe odd", encode(FULL))
-    assert heard[0] == FULL
-    assert taker.datagrams.refused == 1
+    receiver, received = port()
+    sent_to(receiver, b"\xff\xfe odd", encode(FULL))
+    assert received[0] == FULL
+    assert receiver.datagrams.refused == 1
 
 
 @pytest.mark.parametrize(
     ("message", "at"),
     [
-        # Its router is elsewhere.
+        # The router is at another address.
         (FULL, "127.0.0.2"),
         # There is no such router.
-        (Message("router-9", 1, 1, [Row(3, 4, 5)]), "127.0.0.1"),
+        (Message("router-9", 1, 1, [LoadRow(3, 4, 5)]), "127.0.0.1"),
         (Message("", 1, 1), "127.0.0.1"),
     ],
 )
-def test_only_the_router_that_a_message_names_is_heard(message, at):
-    """Symptom: an instance gets no work; a good version is rolled back.
+def test_message_with_a_forged_sender_is_refused(message, at):
+    """Guards against an instance without work, and a needless rollback.
 
-    Sequence: something that is no router sends a datagram in a router's name,
-    with a load of 10^15, a later start and a bad version. Cause: any sender
-    was believed.
+    A host that is no router sends a datagram in a router's name, with a load
+    of 10^15, a later start and a bad version, and no sender was checked.
     """
-    taker, heard = port(at=at)
-    sent_to(taker, encode(message))
-    assert message not in heard
-    assert taker.datagrams.refused == 1
+    receiver, received = port(at=at)
+    sent_to(receiver, encode(message))
+    assert message not in received
+    assert receiver.datagrams.refused == 1
 
 
-def test_fault_of_a_listener_does_not_end_the_hearing():
-    """Symptom: a router hears of no load any more, until it is restarted.
+def test_error_of_a_handler_does_not_end_the_receiving():
+    """Guards against a router that receives no load until it is restarted.
 
-    Cause: an error of what is told of messages ended the task that takes them.
+    An error of a message handler ended the task that receives messages.
     """
-    taker, heard = port()
+    receiver, received = port()
     later = Message("router-1", 1, 3)
 
     def fail_once(message):
         if message == FULL:
             raise ValueError("a fault")
 
-    taker.hear.insert(0, fail_once)
-    sent_to(taker, encode(FULL), encode(later))
-    assert heard[0] == later
+    receiver.handlers.insert(0, fail_once)
+    sent_to(receiver, encode(FULL), encode(later))
+    assert received[0] == later
 
 
-def test_fault_in_what_is_told_does_not_end_the_telling():
-    """Symptom: the others reckon without a router, until it is restarted.
+def test_error_while_composing_does_not_end_the_sending():
+    """Guards against a router whose load is missing until it is restarted.
 
-    Cause: an error in what it was to tell ended the task that tells.
+    An error while composing a message ended the task that sends messages.
     """
     stopping = threading.Event()
     asked = []
@@ -193,7 +196,9 @@
 
     found, _ = port(compose)
     found.changed.set()
-    task = threading.Thread(target=found.tell, args=(stopping,), daemon=True)
+    task = threading.Thread(
+        target=found.send_messages, args=(stopping,), daemon=True
+    )
     task.start()
     task.join(5.0)
     found.close()
@@ -201,15 +206,15 @@
     assert len(asked) == 2
 
 
-def test_only_news_is_told_and_repeated_while_it_holds(monkeypatch):
+def test_new_content_is_sent_and_repeated_unless_empty(monkeypatch):
     sent = []
     now = [100.0]
     monkeypatch.setattr(
         "lacewingdock.components.gossip.port.time.monotonic", lambda: now[0]
     )
     found, _ = port()
-    rows = [Row(1, 2, 3)]
-    for moment, told in (
+    rows = [LoadRow(1, 2, 3)]
+    for moment, rows_sent in (
         (100.0, []),
         (100.1, rows),
         (100.2, rows),
@@ -218,16 +223,19 @@
         (109.0, []),
     ):
         now[0] = moment
-        message = Message("r", 1, found.number + 1, told)
-        if found._is_news(message):
+        message = Message("r", 1, found.number + 1, rows_sent)
+        if found._should_send(message):
             sent.append((moment, message.number))
     found.close()
     assert sent == [(100.1, 1), (100.5, 2), (100.6, 3)]
 
 
 def test_bytes_are_bounded():
-    """A large fleet is told less often: 25 of 1,200 routers, full messages."""
-    rows = [Row(2**32 - n, 64, 10**6) for n in range(96)]
+    """Sends full messages to 25 of 1,200 routers.
+
+    The bytes sent set the pause before the next message.
+    """
+    rows = [LoadRow(2**32 - n, 64, 10**6) for n in range(96)]
     others = [("127.0.0.1", 1)] * 1200
     found, _ = port(lambda n: Message("r" * 20, 1, n, rows), others)
     data = encode(found.compose(1))
--- a/tests/components/pacing/limited_fleet.py
+++ b/tests/components/pacing/limited_fleet.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from lacewingdock.components.gossip import Message, decode, encode
-from lacewingdock.components.gossip.limits import hear_limits, limits_of
+from lacewingdock.components.gossip.limits import apply_limits, limit_rows
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
@@ -92,14 +92,14 @@
 
     def compose_message(self, number):
         """Return a gossip message with its limits; None if it has none."""
-        limits = limits_of(self.directory)
+        limits = limit_rows(self.directory)
         if not limits:
             return None
         return encode(Message(self.name, 0, number, limits=limits))
 
     def receive(self, data):
         """Apply a gossip message of another router."""
-        hear_limits(self.directory, decode(data))
+        apply_limits(self.directory, decode(data))
 
     def deliver(self, sent_at):
         """Deliver a request to the instance, which answers it."""
--- a/tests/components/probes/test_messages.py
+++ b/tests/components/probes/test_messages.py
@@ -6,8 +6,8 @@
 
 from lacewingdock.components.probes import (
     Load,
-    Promise,
-    Question,
+    LoadQuery,
+    RequestNotice,
     decode,
     encode,
 )
@@ -19,9 +19,9 @@
 
 @pytest.mark.parametrize(
     "message",
-    [Question(2**31), Load(3, 17, 4.5), Promise("c" * 64, MAX_UNREAD)],
+    [LoadQuery(2**31), Load(3, 17, 4.5), RequestNotice("c" * 64, MAX_UNREAD)],
 )
-def test_there_and_back(message):
+def test_message_round_trip(message):
     data = encode(message)
     assert decode(data) == message
     assert len(data) < MAX_BYTES
@@ -33,11 +33,11 @@
         Load(1, -1, 0.0),
         Load(1, 1, -0.5),
         Load(1, 1, float("nan")),
-        Promise("c", float("inf")),
-        Promise("c", MAX_UNREAD * 2),
+        RequestNotice("c", float("inf")),
+        RequestNotice("c", MAX_UNREAD * 2),
     ],
 )
-def test_nonsense_is_refused(message):
+def test_value_out_of_bounds_is_refused(message):
     with pytest.raises(LacewingdockError) as caught:
         decode(encode(message))
     assert caught.value.kind is ErrorKind.BAD_REQUEST
@@ -45,13 +45,13 @@
 
 @fuzzed
 @given(st.binary(max_size=80) | json_bytes)
-def test_any_bytes_are_a_message_or_a_coded_error(data):
+def test_any_bytes_decode_or_raise_a_coded_error(data):
     coded(decode, data)
 
 
 @fuzzed
 @given(st.binary(max_size=80) | json_bytes)
-def test_any_report_is_read_or_a_coded_error(data):
+def test_any_report_decodes_or_raises_a_coded_error(data):
     coded(decode_report, data)
 
 
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("body", [b"{}", b'{"active":-1,"queued":0}', b"[]"])
-def test_what_is_no_report_is_a_coded_error(body):
+def test_malformed_report_raises_a_coded_error(body):
     with pytest.raises(LacewingdockError) as caught:
         decode_report(body)
     assert caught.value.kind is ErrorKind.UPSTREAM_FAILED
--- a/tests/components/shifts/test_told.py
+++ b/tests/components/shifts/test_told.py
@@ -1,6 +1,6 @@
 """Tests of the gossip about roll-outs."""
 
-from lacewingdock.components.gossip import KeptSession, Message
+from lacewingdock.components.gossip import Message, PinnedSession
 from lacewingdock.components.shifts.pins import SessionPins
 from lacewingdock.components.shifts.shift import SESSION_WAIT_S
 from tests.components.shifts.fakes import (
@@ -48,7 +48,7 @@
 def test_older_gossip_does_not_replace_own_session():
     shifts = router(Store())
     shifts.pins.pin("svc", "s", "v2")
-    shifts.pins.receive(KeptSession("svc", "s", "v1", 3))
+    shifts.pins.receive(PinnedSession("svc", "s", "v1", 3))
     assert shifts.pins.version("svc", "s") == "v2"
 
 
