--- a/lacewingdock/components/cascades/coordinator.py
+++ b/lacewingdock/components/cascades/coordinator.py
@@ -24,7 +24,7 @@
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.ids import new_id
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.platform.ratings import Ratings, Sample
+from lacewingdock.platform.ratings import Ratings, RatingSample
 from lacewingdock.world.objects import Step, Workspace
 from lacewingdock.world.world import World
 
@@ -126,7 +126,7 @@
         self.open: collections.OrderedDict[str, Open] = (
             collections.OrderedDict()
         )
-        self.waiting: collections.deque[Sample] = collections.deque(
+        self.waiting: collections.deque[RatingSample] = collections.deque(
             maxlen=MAX_OPEN_SAMPLES
         )
         self.unjudged: collections.deque[tuple[Route, Seen]] = (
@@ -215,7 +215,7 @@
             self._hand_in(route, seen)
 
     def _hand_in(self, route: Route, seen: Seen) -> None:
-        sample = Sample(new_id(), seen.messages, seen.text)
+        sample = RatingSample(new_id(), seen.messages, seen.text)
         with self._lock:
             self.open[sample.id] = Open(
                 route, seen.step, seen.score, seen.given, seen.version
--- a/lacewingdock/components/cordons/__init__.py
+++ b/lacewingdock/components/cordons/__init__.py
@@ -7,8 +7,8 @@
 
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.platform.history import era_of, shown
-from lacewingdock.platform.objects import Change, Snapshot
+from lacewingdock.platform.history import era_of, format_revision
+from lacewingdock.platform.objects import ObjectChange, Snapshot
 
 log = get_logger("cordons")
 
@@ -50,7 +50,7 @@
         self.doubted = lost - listed if doubtful else frozenset()
         self._set(listed | self.doubted, snapshot.revision)
 
-    def change(self, change: Change, *, doubtful: bool) -> None:
+    def change(self, change: ObjectChange, *, doubtful: bool) -> None:
         """Take one change in."""
         stored = change.object
         domain = frozenset({stored.name})
@@ -78,7 +78,7 @@
             domains=sorted(domains),
             added=sorted(domains - self.domains),
             lifted=sorted(self.domains - domains),
-            revision=shown(revision),
+            revision=format_revision(revision),
         )
         self.domains = domains
         self.directory.cordon(domains)
--- a/lacewingdock/components/inspection/gather.py
+++ b/lacewingdock/components/inspection/gather.py
@@ -17,7 +17,7 @@
 from lacewingdock.components.routers import Routers
 from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.platform.history import shown
+from lacewingdock.platform.history import format_revision
 
 
 def age_s(at: float | None) -> float | None:
@@ -38,7 +38,7 @@
     return [
         CopyState(
             mirror.kind,
-            shown(mirror.revision) or None,
+            format_revision(mirror.revision) or None,
             len(mirror.objects),
             age_s(mirror.as_of),
         )
--- a/lacewingdock/components/mirror/__init__.py
+++ b/lacewingdock/components/mirror/__init__.py
@@ -20,13 +20,13 @@
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.platform.eras import EarlierEraError
-from lacewingdock.platform.history import era_of, shown
+from lacewingdock.platform.history import era_of, format_revision
 from lacewingdock.platform.object_api import (
     CALL_TIMEOUT_S,
     HistoryGoneError,
     ObjectApi,
 )
-from lacewingdock.platform.objects import Changes, Snapshot, StoredObject
+from lacewingdock.platform.objects import ObjectChanges, Snapshot, StoredObject
 
 # What a watch's answer may take after its wait.
 WATCH_GRACE_S: Final = 0.6
@@ -190,7 +190,7 @@
             changes = self.history.since(after)
             if changes is not None:
                 revision = max(self.revision, after)
-                copy.changes = Changes(revision, changes)
+                copy.changes = ObjectChanges(revision, changes)
             else:
                 copy.snapshot = Snapshot(self.revision, dict(self.objects))
             return copy
@@ -238,7 +238,7 @@
         as_of = asked_at - copy.age_s
         told = copy.changes or copy.snapshot
         if told is not None:
-            self.api.eras.heard(era_of(told.revision))
+            self.api.eras.observe_peer_era(era_of(told.revision))
         doubtful = self.health.doubtful or not copy.sure
         if copy.changes is not None:
             self._take_changes(after, copy.changes, as_of, doubtful=doubtful)
@@ -308,7 +308,7 @@
                 log.info(
                     "history gone",
                     kind=self.kind,
-                    after=shown(self.revision),
+                    after=format_revision(self.revision),
                 )
             else:
                 return
@@ -357,7 +357,7 @@
         return WATCH_GRACE_S + max(self.wait_s() - wait_s, 0.0)
 
     def _take_changes(
-        self, after: int, found: Changes, as_of: float, *, doubtful: bool
+        self, after: int, found: ObjectChanges, as_of: float, *, doubtful: bool
     ) -> bool:
         """Take changes in that came after a revision.
 
@@ -432,12 +432,12 @@
         found = copy.snapshot
         if found is None:
             return
-        self.api.eras.heard(era_of(found.revision))
+        self.api.eras.observe_peer_era(era_of(found.revision))
         log.info(
             "taken from a router",
             kind=self.kind,
-            revision=shown(found.revision),
-            before=shown(self.revision),
+            revision=format_revision(found.revision),
+            before=format_revision(self.revision),
         )
         self._take(found)
 
@@ -466,8 +466,8 @@
                 log.info(
                     "older copy passed over",
                     kind=self.kind,
-                    revision=shown(found.revision),
-                    known=shown(known),
+                    revision=format_revision(found.revision),
+                    known=format_revision(known),
                 )
                 return
             before = self.objects
@@ -479,7 +479,9 @@
                 self.history = ChangeHistory(found.revision)
             else:
                 changes = differences(before, found.objects)
-                self.history.add_list(known, Changes(found.revision, changes))
+                self.history.add_list(
+                    known, ObjectChanges(found.revision, changes)
+                )
             self._note_unseen(waited=False)
             self.as_of = max(self.as_of, as_of)
             doubtful = self.health.doubtful or not sure
--- a/lacewingdock/components/mirror/copies.py
+++ b/lacewingdock/components/mirror/copies.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from lacewingdock.platform.objects import Changes, Snapshot
+from lacewingdock.platform.objects import ObjectChanges, Snapshot
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
 
     sure: bool
     snapshot: Snapshot | None = None
-    changes: Changes | None = None
+    changes: ObjectChanges | None = None
     too_long: bool = False
     age_s: float | None = None
 
--- a/lacewingdock/components/mirror/history.py
+++ b/lacewingdock/components/mirror/history.py
@@ -7,7 +7,11 @@
 from typing import Final
 
 from lacewingdock.platform.history import have_same_count
-from lacewingdock.platform.objects import Change, Changes, StoredObject
+from lacewingdock.platform.objects import (
+    ObjectChange,
+    ObjectChanges,
+    StoredObject,
+)
 
 # Answers of the store whose changes are kept: who asks for news asks several
 # times a second, and changes are gathered for a quarter of one.
@@ -26,7 +30,7 @@
 
     first: int
     last: int
-    changes: list[Change]
+    changes: list[ObjectChange]
 
 
 class ChangeHistory:
@@ -48,7 +52,7 @@
         """Revision of the newest change; of the whole copy where none came."""
         return self._batches[-1].last if self._batches else self.base
 
-    def add(self, after: int, found: Changes) -> None:
+    def add(self, after: int, found: ObjectChanges) -> None:
         """Add the changes that came after a revision."""
         if not found.changes:
             return
@@ -57,7 +61,7 @@
         last = max(one or found.revision for one in revisions)
         self._append(_Batch(first, last, found.changes))
 
-    def add_list(self, after: int, found: Changes) -> None:
+    def add_list(self, after: int, found: ObjectChanges) -> None:
         """Add how a whole list differs from a copy of a revision.
 
         Only who has that very copy can go on by the differences: between two
@@ -73,7 +77,7 @@
         if len(self._batches) > KEPT:
             self.base = self._batches.popleft().last
 
-    def since(self, revision: int) -> list[Change] | None:
+    def since(self, revision: int) -> list[ObjectChange] | None:
         """Return the changes after a revision; None where some are missing.
 
         A revision in the middle of changes that came together is no place to
@@ -88,7 +92,7 @@
         return list(itertools.chain.from_iterable(one.changes for one in rest))
 
 
-def _revision(change: Change, after: int) -> int:
+def _revision(change: ObjectChange, after: int) -> int:
     """Return the revision of a change; 0 where it does not say it.
 
     A removed object may bear the revision of its last write.
@@ -99,7 +103,7 @@
 
 def differences(
     before: Mapping[str, StoredObject], found: Mapping[str, StoredObject]
-) -> list[Change]:
+) -> list[ObjectChange]:
     """Return how a list differs from the copy before it.
 
     Args:
@@ -111,12 +115,12 @@
         removed. What stands as it was in an earlier era is no change.
     """
     changes = [
-        Change(stored, removed=True, unlisted=True)
+        ObjectChange(stored, removed=True, unlisted=True)
         for name, stored in before.items()
         if name not in found
     ]
     changes += [
-        Change(stored, removed=False)
+        ObjectChange(stored, removed=False)
         for name, stored in found.items()
         if not _is_same(stored, before.get(name))
     ]
--- a/lacewingdock/components/mirror/listener.py
+++ b/lacewingdock/components/mirror/listener.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from lacewingdock.platform.objects import Change, Snapshot, StoredObject
+from lacewingdock.platform.objects import ObjectChange, Snapshot, StoredObject
 
 
 class Listener(Protocol):
@@ -12,7 +12,7 @@
     def replace(self, snapshot: Snapshot, *, doubtful: bool) -> None:
         """Take a whole list in."""
 
-    def change(self, change: Change, *, doubtful: bool) -> None:
+    def change(self, change: ObjectChange, *, doubtful: bool) -> None:
         """Take one change in."""
 
 
@@ -44,7 +44,7 @@
         for stored in snapshot.objects.values():
             self.take(stored)
 
-    def change(self, change: Change, *, doubtful: bool) -> None:
+    def change(self, change: ObjectChange, *, doubtful: bool) -> None:
         """Take one change in."""
         del doubtful
         if change.unlisted:
--- a/lacewingdock/components/routers/__init__.py
+++ b/lacewingdock/components/routers/__init__.py
@@ -33,7 +33,7 @@
     serve_requests,
 )
 from lacewingdock.helpers.sockets import Listener
-from lacewingdock.platform.history import shown
+from lacewingdock.platform.history import format_revision
 from lacewingdock.platform.object_api import ABSENT, ObjectApi
 from lacewingdock.platform.objects import StoredObject
 from lacewingdock.world.route import CallerLimits
@@ -170,7 +170,7 @@
         self.entry.seen_at = int(time.time())
         spec = msgspec.to_builtins(self.entry)
         try:
-            written, found = self.api.write_over(
+            written, found = self.api.overwrite(
                 KIND_ROUTERS, self.name, spec, self.revision, "announce"
             )
         except LacewingdockError as error:
@@ -203,7 +203,9 @@
             self.revision = found.revision
             if written:
                 log.info(
-                    "status", losses=len(losses), revision=shown(found.revision)
+                    "status",
+                    losses=len(losses),
+                    revision=format_revision(found.revision),
                 )
                 return True
         return False
--- a/lacewingdock/components/routes/__init__.py
+++ b/lacewingdock/components/routes/__init__.py
@@ -8,7 +8,7 @@
     CONFIGURATION_NAME,
     read_configuration,
 )
-from lacewingdock.platform.history import shown
+from lacewingdock.platform.history import format_revision
 from lacewingdock.platform.objects import StoredObject
 from lacewingdock.world.route import RoutingTable, ServiceLimits
 
@@ -54,7 +54,7 @@
         except LacewingdockError as error:
             log.error(
                 "configuration refused, the older one stays",
-                revision=shown(stored.revision),
+                revision=format_revision(stored.revision),
                 error=str(error),
             )
             return
@@ -67,7 +67,7 @@
             "configuration in force",
             version=table.version,
             before=known.version if known else None,
-            revision=shown(stored.revision),
+            revision=format_revision(stored.revision),
             routes=len(table.routes),
             keys=len(table.callers) if table.callers is not None else None,
         )
--- a/lacewingdock/components/shifts/__init__.py
+++ b/lacewingdock/components/shifts/__init__.py
@@ -41,7 +41,7 @@
     read_shift,
     shift_status,
 )
-from lacewingdock.platform.history import era_of, shown
+from lacewingdock.platform.history import era_of, format_revision
 from lacewingdock.platform.object_api import ObjectApi
 from lacewingdock.platform.objects import StoredObject
 from lacewingdock.world.backend import ShiftOrder, ShiftState
@@ -351,7 +351,7 @@
             state=order.state,
             duration_s=order.duration_s,
             unseen_s=round(self.unseen_s() + waited_s, 2),
-            revision=shown(order.revision),
+            revision=format_revision(order.revision),
         )
         self._apply(order, waited_s)
 
@@ -371,7 +371,7 @@
             "order deferred",
             service=order.service,
             target=order.target,
-            revision=shown(order.revision),
+            revision=format_revision(order.revision),
         )
 
     def _resume_deferred(self) -> None:
@@ -510,7 +510,7 @@
             target=order.target,
             state=state,
             written=written,
-            revision=shown(found.revision),
+            revision=format_revision(found.revision),
         )
         if found.revision:
             self.take(found)
--- a/lacewingdock/components/shifts/reporter.py
+++ b/lacewingdock/components/shifts/reporter.py
@@ -153,7 +153,7 @@
         spec = dataclasses.asdict(report)
         # The object may exist at another revision: an earlier start of this
         # router may have written it, or a write whose answer was lost.
-        _, found = self.api.write_over(
+        _, found = self.api.overwrite(
             KIND_REPORTS, name, spec, expect, "shift-report"
         )
         self.revisions[name] = found.revision
--- a/lacewingdock/components/suspects/address_check.py
+++ b/lacewingdock/components/suspects/address_check.py
@@ -11,7 +11,7 @@
     connect,
 )
 from lacewingdock.exceptions import UpstreamLost
-from lacewingdock.platform.wire import question_headers
+from lacewingdock.platform.wire import query_headers
 from lacewingdock.world.backend import UpstreamEntry
 from lacewingdock.world.call import AnswerHead
 
@@ -46,7 +46,7 @@
     connection = UpstreamConnection(sock, 0.0)
     try:
         left_s = until - time.monotonic()
-        headers = question_headers(entry.host, entry.id)
+        headers = query_headers(entry.host, entry.id)
         connection.send("", b"GET", path.encode(), headers, b"", left_s)
         return _identify_responder(connection.read_head(until), entry)
     except (UpstreamLost, TimedOut):
--- a/lacewingdock/components/upstreams/sync.py
+++ b/lacewingdock/components/upstreams/sync.py
@@ -4,8 +4,8 @@
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.platform.documents import read_instance
-from lacewingdock.platform.history import shown
-from lacewingdock.platform.objects import Change, Snapshot, StoredObject
+from lacewingdock.platform.history import format_revision
+from lacewingdock.platform.objects import ObjectChange, Snapshot, StoredObject
 from lacewingdock.world.backend import UpstreamEntry
 
 log = get_logger("upstreams")
@@ -40,7 +40,7 @@
             self.directory.remove(name, doubtful=False)
         self.directory.replace_all(entries, doubtful=doubtful)
 
-    def change(self, change: Change, *, doubtful: bool) -> None:
+    def change(self, change: ObjectChange, *, doubtful: bool) -> None:
         """Take one change in."""
         name = change.object.name
         if change.removed:
@@ -59,7 +59,7 @@
                 log.error(
                     "faulty entry left out",
                     upstream=stored.name,
-                    revision=shown(stored.revision),
+                    revision=format_revision(stored.revision),
                     error=str(error),
                 )
             self.faulty.add(stored.name)
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -53,7 +53,7 @@
     build_relay_port,
 )
 from lacewingdock.daemons.router_relay import is_worthwhile
-from lacewingdock.daemons.router_return import on_return
+from lacewingdock.daemons.router_return import on_restore
 from lacewingdock.daemons.router_timing import LAPSED_S, too_slow
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.clock import STEADY
@@ -182,8 +182,8 @@
             else self.suspects.receive(router, status.losses)
         )
         self.mirrors = self._mirrors()
-        self.api.eras.on_return.append(
-            on_return(
+        self.api.eras.on_restore.append(
+            on_restore(
                 self.health,
                 self.directory,
                 self.routers,
--- a/lacewingdock/daemons/router_return.py
+++ b/lacewingdock/daemons/router_return.py
@@ -13,7 +13,7 @@
 RUN_OUT_INTERVALS: Final = 3
 
 
-def on_return(
+def on_restore(
     health: StoreHealth,
     directory: Directory,
     routers: Routers,
--- a/lacewingdock/daemons/router_state.py
+++ b/lacewingdock/daemons/router_state.py
@@ -70,9 +70,9 @@
         store_doubtful=router.health.doubtful,
         store_returned_s=age_s(router.health.returned_at),
         store_era=router.api.eras.era,
-        store_restored=router.api.eras.returns,
-        older_answers=router.api.eras.passed_over,
-        eras_unread=router.api.eras.odd,
+        store_restored=router.api.eras.restores,
+        older_answers=router.api.eras.stale_answers,
+        eras_unread=router.api.eras.unreadable,
         older_entries=len(router.directory.held),
         told_bytes=router.gossip.sent_bytes,
         messages_refused=router.gossip.datagrams.refused
--- a/lacewingdock/platform/documents.py
+++ b/lacewingdock/platform/documents.py
@@ -9,7 +9,7 @@
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.unknown_names import UnknownNames
-from lacewingdock.platform.history import shown
+from lacewingdock.platform.history import format_revision
 from lacewingdock.platform.objects import StoredObject
 from lacewingdock.world.backend import ShiftOrder, ShiftState, UpstreamEntry
 from lacewingdock.world.route import (
@@ -308,7 +308,8 @@
 def _faulty(stored: StoredObject, detail: str) -> LacewingdockError:
     return LacewingdockError(
         ErrorKind.BAD_MANIFEST,
-        f"{stored.name} at revision {shown(stored.revision)}: {detail}",
+        f"{stored.name} at revision"
+        f" {format_revision(stored.revision)}: {detail}",
     )
 
 
--- a/lacewingdock/platform/eras.py
+++ b/lacewingdock/platform/eras.py
@@ -41,11 +41,11 @@
         "_lock",
         "clock",
         "era",
-        "odd",
-        "on_return",
-        "passed_over",
-        "returns",
+        "on_restore",
+        "restores",
         "since",
+        "stale_answers",
+        "unreadable",
     )
 
     def __init__(self, clock: Clock = STEADY) -> None:
@@ -53,13 +53,13 @@
         self.clock = clock
         self.era = 0
         self.since = 0.0
-        self.returns = 0
-        self.passed_over = 0
-        self.odd = 0
-        self.on_return: list[Callable[[], None]] = []
+        self.restores = 0
+        self.stale_answers = 0
+        self.unreadable = 0
+        self.on_restore: list[Callable[[], None]] = []
         self._lock = threading.Lock()
 
-    def heard(self, era: int) -> None:
+    def observe_peer_era(self, era: int) -> None:
         """Take the era of another router's copy, which may be ahead.
 
         This router's own answers take it back if the store never had it.
@@ -71,7 +71,7 @@
             self._enter(era)
         self._tell(era, before)
 
-    def take(
+    def observe(
         self, values: Sequence[str], began: float, *, stale: bool = False
     ) -> int:
         """Take what an answer says.
@@ -101,12 +101,12 @@
         with self._lock:
             before = self.era
             if named is None:
-                self.odd += bool(values or before)
+                self.unreadable += bool(values or before)
                 return before
             if named == before:
                 return named
             if named < before and (stale or began <= self.since):
-                self.passed_over += 1
+                self.stale_answers += 1
                 raise EarlierEraError(
                     ErrorKind.PLATFORM_UNAVAILABLE,
                     f"an answer of era {named}, the store is in {before}",
@@ -116,7 +116,7 @@
         return named
 
     def _enter(self, era: int) -> None:
-        self.returns += bool(self.era)
+        self.restores += bool(self.era)
         self.era = era
         self.since = self.clock.now()
 
@@ -125,7 +125,7 @@
             log.info("store era", era=era)
             return
         log.warning("store back from a copy", era=era, before=before)
-        for told in self.on_return:
+        for told in self.on_restore:
             told()
 
 
--- a/lacewingdock/platform/history.py
+++ b/lacewingdock/platform/history.py
@@ -49,7 +49,7 @@
     return count_of(one) == count_of(other)
 
 
-def shown(revision: int | None) -> str:
+def format_revision(revision: int | None) -> str:
     """Return a revision as logs and reports show it: era and count."""
     if revision is None:
         return ""
--- a/lacewingdock/platform/object_api.py
+++ b/lacewingdock/platform/object_api.py
@@ -25,14 +25,14 @@
 from lacewingdock.platform.history import (
     count_of,
     era_of,
+    format_revision,
     revision_of,
-    shown,
 )
 from lacewingdock.platform.objects import (
-    Change,
-    Changes,
     EventsAnswer,
     ObjectAnswer,
+    ObjectChange,
+    ObjectChanges,
     PageAnswer,
     Snapshot,
     StoredObject,
@@ -165,7 +165,7 @@
         grace_s: float = CALL_TIMEOUT_S,
         *,
         stale: bool = False,
-    ) -> Changes:
+    ) -> ObjectChanges:
         """Wait for changes of a kind after a revision.
 
         Args:
@@ -202,10 +202,10 @@
         if reply.status == HTTPStatus.GONE or reply.era != era_of(revision):
             raise HistoryGoneError
         found = _decode(reply, EventsAnswer, RAN_NO)
-        return Changes(
+        return ObjectChanges(
             revision_of(reply.era, found.current_rev),
             [
-                Change(one, event.removed)
+                ObjectChange(one, event.removed)
                 for event in found.events
                 for one in readable([event.object], reply.era)
             ],
@@ -240,7 +240,7 @@
         path = _path(kind, name)
         return self._write("PUT", path, name, body, purpose, expect)
 
-    def write_over(
+    def overwrite(
         self, kind: str, name: str, spec: Any, expect: int, purpose: str
     ) -> tuple[bool, StoredObject]:
         """Write an object's spec, once more over what is there in its way.
@@ -324,8 +324,8 @@
             # The store came back on the way: what was written over may be
             # another state than the one that was expected.
             raise unavailable(
-                f"{method} {path}: expected {shown(expect)}, written at"
-                f" {shown(found.revision)}",
+                f"{method} {path}: expected {format_revision(expect)},"
+                f" written at {format_revision(found.revision)}",
                 RAN_UNKNOWN,
             )
         return written, found
@@ -390,7 +390,7 @@
         status = int(curl.getinfo(pycurl.RESPONSE_CODE))
         if status == HTTPStatus.OK or status in also:
             try:
-                era = self.eras.take(eras, began, stale=stale)
+                era = self.eras.observe(eras, began, stale=stale)
             except EarlierEraError as error:
                 error.ran = ran
                 raise
--- a/lacewingdock/platform/objects.py
+++ b/lacewingdock/platform/objects.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Change:
+class ObjectChange:
     """A change of one object.
 
     Attributes:
@@ -57,11 +57,11 @@
 
 
 @dataclass(slots=True)
-class Changes:
+class ObjectChanges:
     """Changes of a kind, complete up to a revision."""
 
     revision: int
-    changes: list[Change] = field(default_factory=list)
+    changes: list[ObjectChange] = field(default_factory=list)
 
 
 class Metadata(msgspec.Struct):
--- a/lacewingdock/platform/ratings.py
+++ b/lacewingdock/platform/ratings.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Sample:
+class RatingSample:
     """An answer handed in for a rating.
 
     Attributes:
@@ -81,7 +81,7 @@
         body = {"messages": messages, "answer": text}
         return self._call("/rate", body, _Verdict).score
 
-    def submit(self, client: str, samples: list[Sample]) -> None:
+    def submit(self, client: str, samples: list[RatingSample]) -> None:
         """Hand samples in; handing one in again does no harm.
 
         Raises:
--- a/lacewingdock/platform/wire.py
+++ b/lacewingdock/platform/wire.py
@@ -204,7 +204,7 @@
     )
 
 
-def question_headers(host: str, instance: str) -> Headers:
+def query_headers(host: str, instance: str) -> Headers:
     """Return the headers of a question to one instance and no other."""
     return [(b"Host", host.encode()), (INSTANCE, instance.encode("latin-1"))]
 
--- a/tests/components/cordons/test_cordons.py
+++ b/tests/components/cordons/test_cordons.py
@@ -8,7 +8,7 @@
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.platform.history import revision_of
-from lacewingdock.platform.objects import Change, Snapshot, StoredObject
+from lacewingdock.platform.objects import ObjectChange, Snapshot, StoredObject
 from tests.components.upstreams import entries
 
 EVERYTHING = {"a-1", "a-2", "b-1", "c-1"}
@@ -30,13 +30,13 @@
 def set_(listener, domain, revision=5):
     """Cordon a failure domain."""
     stored = StoredObject(domain, revision, {})
-    listener.change(Change(stored, removed=False), doubtful=False)
+    listener.change(ObjectChange(stored, removed=False), doubtful=False)
 
 
 def lift(listener, domain, revision=6):
     """Take a cordon back."""
     stored = StoredObject(domain, revision, {})
-    listener.change(Change(stored, removed=True), doubtful=False)
+    listener.change(ObjectChange(stored, removed=True), doubtful=False)
 
 
 def listed(listener, *domains):
@@ -83,7 +83,7 @@
     found = directory()
     listener = CordonListener(found)
     stored = StoredObject("a", 5)
-    listener.change(Change(stored, removed=False), doubtful=False)
+    listener.change(ObjectChange(stored, removed=False), doubtful=False)
     assert open_ids(found) == {"b-1", "c-1"}
 
 
@@ -167,7 +167,7 @@
 
 def unlist(listener, domain):
     """Tell as a follower that a list lacks a cordon."""
-    change = Change(StoredObject(domain, 5), removed=True, unlisted=True)
+    change = ObjectChange(StoredObject(domain, 5), removed=True, unlisted=True)
     listener.change(change, doubtful=True)
 
 
--- a/tests/components/mirror/simulated_store.py
+++ b/tests/components/mirror/simulated_store.py
@@ -17,8 +17,8 @@
     unavailable,
 )
 from lacewingdock.platform.objects import (
-    Change,
-    Changes,
+    ObjectChange,
+    ObjectChanges,
     Snapshot,
     StoredObject,
 )
@@ -179,7 +179,7 @@
         changes = [
             change for at, r, _, change in log if r > revision and at <= now
         ]
-        return Changes(max(self._revision(now), revision), changes)
+        return ObjectChanges(max(self._revision(now), revision), changes)
 
     def drop_connection(self, kind):
         """Close a kind's connection."""
@@ -203,7 +203,7 @@
 
     def _take_era(self, began, at, *, stale=False):
         era = self._history(at).era
-        self.eras.take([str(era)], began, stale=stale)
+        self.eras.observe([str(era)], began, stale=stale)
 
     def _revision(self, at):
         history = self._history(at)
@@ -279,7 +279,7 @@
             return
         last = self.log[-1][1] if self.log else revision_of(self.era, 1)
         spec = known.get((one.kind, one.name)) if removed else one.spec
-        change = Change(StoredObject(one.name, last + 1, spec), removed)
+        change = ObjectChange(StoredObject(one.name, last + 1, spec), removed)
         self.log.append((one.at, last + 1, one.kind, change))
 
     def objects(self):
--- a/tests/components/mirror/test_history.py
+++ b/tests/components/mirror/test_history.py
@@ -5,20 +5,24 @@
 from hypothesis import strategies as st
 
 from lacewingdock.components.mirror.history import KEPT, ChangeHistory
-from lacewingdock.platform.objects import Change, Changes, StoredObject
+from lacewingdock.platform.objects import (
+    ObjectChange,
+    ObjectChanges,
+    StoredObject,
+)
 
 
 def change(name, revision, removed=False):
-    return Change(StoredObject(name, revision), removed)
+    return ObjectChange(StoredObject(name, revision), removed)
 
 
 def history():
     """A copy of revision 10 with changes at 12, 15 and 16, and 30."""
     found = ChangeHistory(10)
-    found.add(10, Changes(13, [change("a", 12)]))
-    found.add(13, Changes(20, []))
-    found.add(20, Changes(25, [change("b", 22), change("a", 24)]))
-    found.add(25, Changes(33, [change("c", 30, removed=True)]))
+    found.add(10, ObjectChanges(13, [change("a", 12)]))
+    found.add(13, ObjectChanges(20, []))
+    found.add(20, ObjectChanges(25, [change("b", 22), change("a", 24)]))
+    found.add(25, ObjectChanges(33, [change("c", 30, removed=True)]))
     return found
 
 
@@ -54,7 +58,7 @@
     the revision that a removed object bears was taken for the removal's.
     """
     found = ChangeHistory(10)
-    found.add(10, Changes(14, [change("a", 5, removed=True)]))
+    found.add(10, ObjectChanges(14, [change("a", 5, removed=True)]))
     assert found.changed == 14
     assert [one.removed for one in found.since(10)] == [True]
     assert found.since(11) is None
@@ -64,7 +68,9 @@
 def test_old_changes_are_dropped():
     found = ChangeHistory(0)
     for revision in range(1, KEPT + 3):
-        found.add(revision - 1, Changes(revision, [change("a", revision)]))
+        found.add(
+            revision - 1, ObjectChanges(revision, [change("a", revision)])
+        )
     assert found.since(1) is None
     assert len(found.since(2)) == KEPT
     assert found.changed == KEPT + 2
@@ -89,7 +95,7 @@
             batch.append(change(f"n-{revision % 3}", revision, gone))
         log += batch
         revision += gap
-        found.add(before, Changes(revision, batch))
+        found.add(before, ObjectChanges(revision, batch))
     changes = found.since(after)
     if changes is None:
         return
--- a/tests/components/mirror/test_mirror.py
+++ b/tests/components/mirror/test_mirror.py
@@ -16,8 +16,8 @@
 from lacewingdock.platform.eras import StoreEras
 from lacewingdock.platform.object_api import HistoryGoneError, unavailable
 from lacewingdock.platform.objects import (
-    Change,
-    Changes,
+    ObjectChange,
+    ObjectChanges,
     Snapshot,
     StoredObject,
 )
@@ -51,7 +51,7 @@
 
 def removed(revision, name):
     """Return the change by which an instance leaves."""
-    return Changes(revision, [Change(entry(name), True)])
+    return ObjectChanges(revision, [ObjectChange(entry(name), True)])
 
 
 class Script:
@@ -193,7 +193,7 @@
 
 
 def test_lapsed_entry_that_comes_back_is_kept():
-    back = Changes(7, [Change(entry("b"), False)])
+    back = ObjectChanges(7, [ObjectChange(entry("b"), False)])
     mirror, directory, _ = mirror_of(
         listed(5, "a", "b"), *OUTAGE, removed(6, "b"), back
     )
@@ -208,7 +208,9 @@
     Cause: what the listener raised ended the task that mirrors.
     """
     mirror, directory, _ = mirror_of(
-        listed(5, "a"), Changes(6, [Change(entry("b"), False)]), listed(7, "c")
+        listed(5, "a"),
+        ObjectChanges(6, [ObjectChange(entry("b"), False)]),
+        listed(7, "c"),
     )
     take, faults = directory.take, [ValueError("a fault")]
 
@@ -297,8 +299,8 @@
     )
     for doubtful in (False, True):
         found.replace(listed(5, "a", "b"), doubtful=doubtful)
-        found.change(Change(entry("c"), False), doubtful=doubtful)
-        found.change(Change(entry("a"), True), doubtful=doubtful)
+        found.change(ObjectChange(entry("c"), False), doubtful=doubtful)
+        found.change(ObjectChange(entry("a"), True), doubtful=doubtful)
     assert taken == ["a", "b", "c"] * 2
     assert dropped == ["a"] * 2
 
--- a/tests/components/mirror/test_store_return.py
+++ b/tests/components/mirror/test_store_return.py
@@ -13,8 +13,8 @@
 from lacewingdock.platform.history import revision_of
 from lacewingdock.platform.object_api import HistoryGoneError
 from lacewingdock.platform.objects import (
-    Change,
-    Changes,
+    ObjectChange,
+    ObjectChanges,
     Snapshot,
     StoredObject,
 )
@@ -50,7 +50,7 @@
     def watch_kind(self, kind, revision, *_, **__):
         if revision != self.snapshot.revision:
             raise HistoryGoneError
-        return Changes(revision)
+        return ObjectChanges(revision)
 
 
 def stored(name, era, count, spec=None):
@@ -168,7 +168,7 @@
 
 def test_history_goes_on_over_a_list_without_differences():
     history = ChangeHistory(revision_of(1, 24))
-    history.add_list(revision_of(1, 24), Changes(revision_of(2, 24), []))
+    history.add_list(revision_of(1, 24), ObjectChanges(revision_of(2, 24), []))
     assert history.since(revision_of(1, 24)) == []
     assert history.since(revision_of(1, 25)) is None
     assert history.changed == revision_of(2, 24)
@@ -188,7 +188,9 @@
     found = differences(
         {"a": before} if before else {}, {"a": after} if after else {}
     )
-    expected = [] if removed is None else [Change(after or before, removed)]
+    expected = (
+        [] if removed is None else [ObjectChange(after or before, removed)]
+    )
     for one in expected:
         one.unlisted = removed
     assert found == expected
--- a/tests/components/relay/test_port.py
+++ b/tests/components/relay/test_port.py
@@ -22,7 +22,11 @@
 from lacewingdock.components.relay.port import RelayPort
 from lacewingdock.components.relay.watcher import Watcher
 from lacewingdock.platform.object_api import ObjectApi
-from lacewingdock.platform.objects import Change, Changes, StoredObject
+from lacewingdock.platform.objects import (
+    ObjectChange,
+    ObjectChanges,
+    StoredObject,
+)
 from tests.waiting import wait
 
 KIND = "things"
@@ -118,7 +122,9 @@
 
     def _fetch(self, router, kind, after):
         self.fetched.append((router, kind, after))
-        found = Changes(9, [Change(StoredObject("a", 9), removed=False)])
+        found = ObjectChanges(
+            9, [ObjectChange(StoredObject("a", 9), removed=False)]
+        )
         return Copy(True, changes=found, age_s=0.1)
 
 
--- a/tests/components/routers/test_routers.py
+++ b/tests/components/routers/test_routers.py
@@ -43,7 +43,7 @@
         """Write a spec."""
         return self._put(kind, name, expect, spec=spec)
 
-    write_over = ObjectApi.write_over
+    overwrite = ObjectApi.overwrite
 
     def write_status(self, kind, name, status, expect, _):
         """Write a status."""
@@ -219,7 +219,7 @@
         report = Report("svc", "v2", router, "1")
         spec = {"service": "svc", "target": "v2", "router": router}
         spec["incarnation"] = "1"
-        store.write_over(KIND_REPORTS, report.name, spec, ABSENT, "")
-    store.write_over(KIND_REPORTS, "odd", {"x": 1}, ABSENT, "")
+        store.overwrite(KIND_REPORTS, report.name, spec, ABSENT, "")
+    store.overwrite(KIND_REPORTS, "odd", {"x": 1}, ABSENT, "")
     reporter.remove_gone(list(store.objects.values()), {"r-1"})
     assert [name for _, name in store.objects] == ["svc.r-1"]
--- a/tests/components/shifts/fakes.py
+++ b/tests/components/shifts/fakes.py
@@ -39,7 +39,7 @@
         self.reports[name] = StoredObject(name, self.revision, spec)
         return True, self.reports[name]
 
-    write_over = ObjectApi.write_over
+    overwrite = ObjectApi.overwrite
 
     def write_status(self, _kind, _name, status, expect, _purpose):
         """Write the order's status if its revision is the expected one."""
--- a/tests/components/shifts/test_returned.py
+++ b/tests/components/shifts/test_returned.py
@@ -6,7 +6,7 @@
     restored_orders as restored_orders_module,
 )
 from lacewingdock.components.shifts.report import Report, Stage
-from lacewingdock.platform.history import revision_of, shown
+from lacewingdock.platform.history import format_revision, revision_of
 from lacewingdock.platform.objects import StoredObject
 from lacewingdock.world.backend import ShiftState
 from tests.components.shifts.fakes import (
@@ -90,7 +90,7 @@
     sync(shifts, store)
     steady.now += 30.0
     shifts.round()
-    assert shown(store.order.revision) == "2.28"
+    assert format_revision(store.order.revision) == "2.28"
 
 
 def test_new_order_to_the_target_of_an_ended_one_is_begun(clock, steady):
@@ -125,7 +125,7 @@
     shifts.store_doubtful = lambda: False
     shifts.round()
     assert shifts.running["svc"] is shift
-    assert shown(shift.order.revision).startswith("2.")
+    assert format_revision(shift.order.revision).startswith("2.")
 
 
 def test_deferred_order_is_applied_after_the_restoration(clock, steady):
--- a/tests/components/upstreams/test_faulty_entries.py
+++ b/tests/components/upstreams/test_faulty_entries.py
@@ -13,7 +13,7 @@
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.sync import InstanceListener
 from lacewingdock.platform.object_api import ObjectApi, Reply
-from lacewingdock.platform.objects import Change, Snapshot, StoredObject
+from lacewingdock.platform.objects import ObjectChange, Snapshot, StoredObject
 from tests.fuzz.common import fuzzed, json_values
 
 GOOD = {
@@ -67,11 +67,11 @@
     found = listener(stored("a", spec), stored("b", GOOD), stored("c", spec))
     known = found.directory.instances
     assert set(known) == {"b"}
-    found.change(Change(stored("d", spec), False), doubtful=doubtful)
+    found.change(ObjectChange(stored("d", spec), False), doubtful=doubtful)
     assert set(known) == {"b"}
-    found.change(Change(stored("b", spec), False), doubtful=doubtful)
+    found.change(ObjectChange(stored("b", spec), False), doubtful=doubtful)
     assert not known
-    found.change(Change(stored("b", GOOD), False), doubtful=doubtful)
+    found.change(ObjectChange(stored("b", GOOD), False), doubtful=doubtful)
     assert known["b"].open and not known["b"].lapsed
     again = {"a": stored("a", GOOD), "b": stored("b", spec)}
     found.replace(Snapshot(9, again), doubtful=doubtful)
@@ -86,17 +86,17 @@
     )
     found = listener(stored("a", None))
     for revision in range(50):
-        change = Change(stored("a", None, revision), False)
+        change = ObjectChange(stored("a", None, revision), False)
         found.change(change, doubtful=False)
     assert lines == ["a"]
-    found.change(Change(stored("a", GOOD), False), doubtful=False)
-    found.change(Change(stored("a", None), False), doubtful=False)
+    found.change(ObjectChange(stored("a", GOOD), False), doubtful=False)
+    found.change(ObjectChange(stored("a", None), False), doubtful=False)
     assert lines == ["a", "a"]
 
 
 def test_instance_that_starts_again_is_not_faulty_because_it_was():
     found = listener(stored("a", {**GOOD, "state": "odd"}))
-    change = Change(stored("a", {**GOOD, "born": 1800000000000}), False)
+    change = ObjectChange(stored("a", {**GOOD, "born": 1800000000000}), False)
     found.change(change, doubtful=False)
     assert found.directory.instances["a"].entry.born == 1800000000000
 
@@ -115,7 +115,7 @@
     found = listener(*([good, *odd] if first else [*odd, good]))
     assert found.directory.instances["good"].open
     for one in odd:
-        found.change(Change(one, False), doubtful=False)
+        found.change(ObjectChange(one, False), doubtful=False)
     assert found.directory.instances["good"].open
 
 
--- a/tests/daemons/relay_fleet.py
+++ b/tests/daemons/relay_fleet.py
@@ -123,7 +123,7 @@
         self.name = name
         self.troubles = troubles
         self.store = SimulatedStore(self.time, written, troubles)
-        self.store.eras.on_return.append(self.returned)
+        self.store.eras.on_restore.append(self.returned)
         self.entries = dict.fromkeys(names)
         self.draw = random.Random(name)
         self.mirrors = build_mirrors(
--- a/tests/daemons/test_router_mirrors.py
+++ b/tests/daemons/test_router_mirrors.py
@@ -91,7 +91,7 @@
     def __init__(self, written, troubles, bounds, silent, seed):
         super().__init__(VirtualTime(), bounds, LOOK_S)
         self.store = SimulatedStore(self.time, written, troubles)
-        self.store.eras.on_return.append(self.returned)
+        self.store.eras.on_restore.append(self.returned)
         others = Others(self.time, self.store, troubles, silent)
         self.mirrors = build_mirrors(
             self.listeners(),
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -13,8 +13,8 @@
     MAX_ERA,
     count_of,
     era_of,
+    format_revision,
     revision_of,
-    shown,
 )
 from lacewingdock.platform.object_api import HistoryGoneError, ObjectApi
 
@@ -99,7 +99,7 @@
     assert (era_of(found), count_of(found)) == (
         (era, count) if count else (0, 0)
     )
-    assert shown(found) == (text or f"{era}.{count}")
+    assert format_revision(found) == (text or f"{era}.{count}")
 
 
 def test_later_era_is_beyond_all_of_an_earlier_one():
@@ -132,28 +132,28 @@
 def test_answer_without_a_readable_era_counts_as_of_the_known_one():
     """Symptom: a router is deaf since an answer bore an odd header, or none."""
     eras = StoreEras(Clock())
-    assert eras.take([], 0) == 0
-    assert eras.odd == 0
-    assert eras.take(["2"], 0) == 2
+    assert eras.observe([], 0) == 0
+    assert eras.unreadable == 0
+    assert eras.observe(["2"], 0) == 2
     for values in ([], ["x"], ["2", "3"], ["-1"]):
-        assert eras.take(values, 20) == 2
-    assert (eras.odd, eras.returns) == (4, 0)
+        assert eras.observe(values, 20) == 2
+    assert (eras.unreadable, eras.restores) == (4, 0)
 
 
 def test_late_answer_of_an_earlier_era_says_nothing():
     """Symptom: what was lost comes back into force with a late answer."""
     clock = Clock()
     eras, told = StoreEras(clock), []
-    eras.on_return.append(lambda: told.append(eras.era))
-    eras.take(["4"], 0)
+    eras.on_restore.append(lambda: told.append(eras.era))
+    eras.observe(["4"], 0)
     clock.time = 20.0
-    assert eras.take(["5"], 19.0) == 5
+    assert eras.observe(["5"], 19.0) == 5
     with pytest.raises(EarlierEraError):
-        eras.take(["4"], 19.9)
+        eras.observe(["4"], 19.9)
     # A read that may be behind says nothing, whenever it began.
     with pytest.raises(EarlierEraError):
-        eras.take(["4"], 21.0, stale=True)
-    assert (eras.era, eras.passed_over, told) == (5, 2, [5])
+        eras.observe(["4"], 21.0, stale=True)
+    assert (eras.era, eras.stale_answers, told) == (5, 2, [5])
 
 
 def test_era_that_the_store_never_had_lasts_until_its_next_answer():
@@ -163,10 +163,10 @@
     """
     clock = Clock()
     eras = StoreEras(clock)
-    eras.take(["4"], 0)
-    eras.take(["900000"], 9)
+    eras.observe(["4"], 0)
+    eras.observe(["900000"], 9)
     clock.time = 11.0
-    assert eras.take(["4"], 10.5) == 4
+    assert eras.observe(["4"], 10.5) == 4
 
 
 def test_watch_from_an_earlier_era_is_not_asked_for(server, api):
@@ -220,7 +220,7 @@
     known = api.read("k", "a", "test")
     api.list_kind("k", "test")
     written, found = WRITES[write](api, known.revision)
-    assert (written, shown(found.revision)) == (False, "2.24")
+    assert (written, format_revision(found.revision)) == (False, "2.24")
     assert [method for method, _ in server.asked] == ["GET"] * 3
 
 
@@ -251,4 +251,4 @@
     server.answers = [(200, ["1"], stored(24)), (409, ["2"], stored(22))]
     known = api.read("k", "a", "test")
     written, found = api.write("k", "a", {}, known.revision, "test")
-    assert (written, shown(found.revision)) == (False, "2.22")
+    assert (written, format_revision(found.revision)) == (False, "2.22")
