--- a/lacewingdock/platform/profile.py
+++ b/lacewingdock/platform/profile.py
@@ -59,7 +59,7 @@
     platform: _Platform
 
 
-class _File(_Place):
+class _RouterFile(_Place):
     listen: _Listen
     # How often upstream instances renew their entries.
     heartbeat_ms: _Positive = 1200.0
@@ -119,7 +119,7 @@
     Raises:
         LacewingdockError: BAD_SETTING, naming key and value.
     """
-    file = convert_toml(found, _File, path)
+    file = convert_toml(found, _RouterFile, path)
     bounds = file.bounds
     return HostProfile(
         instance=file.node_name,
@@ -192,7 +192,7 @@
     return first + 2 if first + 1 < last else 0
 
 
-def _peer_address(file: _File) -> tuple[str, int]:
+def _peer_address(file: _RouterFile) -> tuple[str, int]:
     """Return where other routers call: the control address if there is one."""
     if file.listen.control:
         return split_address(file.listen.control)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -73,7 +73,7 @@
         for part, cls in parts.items()
         for name in cls.__struct_fields__
     ]
-    keys += [n for n in profile._File.__struct_fields__ if n not in parts]
+    keys += [n for n in profile._RouterFile.__struct_fields__ if n not in parts]
     assert [key for key in keys if f"`{key}`" not in text] == []
 
 
