--- a/lacewingdock/platform/__init__.py
+++ b/lacewingdock/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Support for the platform that the deployment runs on."""
+"""Clients and decoders for the platform that the deployment runs on."""
--- a/lacewingdock/platform/budget.py
+++ b/lacewingdock/platform/budget.py
@@ -1,4 +1,4 @@
-"""Support for bounding the calls that one daemon makes to the platform."""
+"""Rate limit of the calls that one daemon makes to the platform."""
 
 import threading
 import time
@@ -6,30 +6,33 @@
 
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 
-# Twice what the busiest daemon makes by design: a sidecar that is home to all
-# eight claim partitions of a service writes up to 200 times a second.
+# Calls a second. The busiest daemon by design makes half of them: a sidecar
+# that is home to all eight claim partitions of a service writes up to 200 times
+# a second.
 CALLS_PER_S: Final = 400.0
+# Calls that may be made at once after a pause.
 BURST: Final = 400.0
 
 
 class CallBudget:
-    """A token bucket over all calls of one daemon.
+    """Token bucket for all calls of one daemon.
 
-    It does not share the platform out among the daemons: what each does by
-    design is far below (docs/CAPACITY.md). It keeps a fault in one daemon, a
-    loop without a pause, from taking the platform away from all others.
+    It keeps a faulty daemon that calls in a loop without a pause from
+    overloading the platform for all others. It does not divide the platform's
+    capacity among the daemons, whose calls by design are far below this limit
+    (docs/CAPACITY.md).
 
     Attributes:
-        rate: Calls a second in the long run.
-        burst: Calls that may come at once.
-        left: Calls left now.
-        refused: Calls refused so far.
+        rate: Sustained rate, in calls a second.
+        burst: Size of the bucket, in calls.
+        left: Calls left in the bucket.
+        refused: Number of calls refused.
     """
 
     __slots__ = ("_at", "_lock", "burst", "left", "rate", "refused")
 
     def __init__(self, rate: float = CALLS_PER_S, burst: float = BURST) -> None:
-        """Start full."""
+        """Start with a full bucket of the given rate and size."""
         self.rate = rate
         self.burst = burst
         self.left = burst
@@ -38,22 +41,22 @@
         self._lock = threading.Lock()
 
     def take(self) -> None:
-        """Take one call.
+        """Acquire the permission for one call.
 
         Raises:
-            LacewingdockError: PLATFORM_UNAVAILABLE, not run, when none is
-                left.
+            LacewingdockError: PLATFORM_UNAVAILABLE, not run, if the bucket is
+                empty.
         """
         with self._lock:
             now = time.monotonic()
-            grown = self.left + (now - self._at) * self.rate
-            self.left = min(self.burst, grown)
+            refilled = self.left + (now - self._at) * self.rate
+            self.left = min(self.burst, refilled)
             self._at = now
             if self.left < 1.0:
                 self.refused += 1
                 raise LacewingdockError(
                     ErrorKind.PLATFORM_UNAVAILABLE,
-                    "this daemon's platform calls are used up",
+                    "this daemon's call budget for the platform is exhausted",
                     retry_after_s=1.0 / self.rate,
                 )
             self.left -= 1.0
--- a/lacewingdock/platform/documents.py
+++ b/lacewingdock/platform/documents.py
@@ -1,4 +1,8 @@
-"""Support for the documents that the platform keeps: decoded once, here."""
+"""Decoding of the documents in the platform's store.
+
+Only this module knows the platform's names and units. Other modules use the
+decoded types of `world`.
+"""
 
 import socket
 from collections.abc import Iterable
@@ -25,12 +29,14 @@
 KIND_CONFIGURATION: Final = "config"
 KIND_INSTANCES: Final = "servers"
 KIND_SHIFTS: Final = "rollouts"
-# Named like the failure domain whose instances shall get nothing.
+# Each is named after the failure domain whose instances get no requests.
 KIND_CORDONS: Final = "evacuations"
 CONFIGURATION_NAME: Final = "main"
 
+# Highest TCP port number.
 MAX_PORT: Final = 65535
-# Longest time for which an entry may keep an instance from its full load.
+# Longest time, in seconds, for which an entry may declare its instance cold and
+# so keep it from its full load.
 MAX_COLD_S: Final = 60.0
 
 _IDEMPOTENT: Final = "idempotent"
@@ -39,7 +45,7 @@
 
 log = get_logger("platform")
 
-# What the platform's objects say beside what is read here.
+# Fields of the platform's objects that are not decoded here.
 unknown_fields: Final = UnknownNames("object")
 
 
@@ -57,7 +63,7 @@
     goal_ms: float = 1000.0
     gap_target_ms: float = 0.0
     priority: int = 5
-    # Names of models, not sizes, smallest first.
+    # Names of the models, despite the field's name; smallest model first.
     sizes: list[str] = []
     service: str = ""
     split: list[_Split] = []
@@ -78,7 +84,8 @@
 class _Service(msgspec.Struct):
     name: str
     max_conns: int = 0
-    # How long an instance is cold, and requests a second that it bears then.
+    # Seconds for which a started instance is cold, and requests a second that
+    # it can serve meanwhile.
     cold_start_s: float = 0.0
     cold_per_s: float = 0.0
     health_path: str = ""
@@ -115,7 +122,7 @@
     state: Literal["ready", "draining"]
     sequence: int
     cold_left_ms: float
-    # Unix milliseconds of the instance's start.
+    # Start time of the instance, in Unix milliseconds.
     born: int = 0
 
 
@@ -130,8 +137,9 @@
     target: str = ""
 
 
-# What is known and left unread; the page of the platform's words says why.
-_UNREAD: Final[dict[type[Any], frozenset[str]]] = {
+# Known fields that are deliberately ignored. docs/platform-words.md gives the
+# reasons.
+_IGNORED_FIELDS: Final[dict[type[Any], frozenset[str]]] = {
     _Route: frozenset({"sticky", "protocol"}),
     _Service: frozenset({"protocol", "tls"}),
     _Engine: frozenset(
@@ -151,8 +159,8 @@
     ),
 }
 
-_KNOWN: Final[dict[type[Any], frozenset[str]]] = {
-    cls: _UNREAD.get(cls, frozenset()).union(cls.__struct_fields__)
+_KNOWN_FIELDS: Final[dict[type[Any], frozenset[str]]] = {
+    cls: _IGNORED_FIELDS.get(cls, frozenset()).union(cls.__struct_fields__)
     for cls in (
         _Configuration,
         _Engine,
@@ -170,10 +178,10 @@
     """Decode the operator's configuration.
 
     Raises:
-        LacewingdockError: BAD_MANIFEST, naming the field.
+        LacewingdockError: BAD_MANIFEST, naming the invalid field.
     """
     found = _convert(stored, _Configuration)
-    _note_parts(stored)
+    _record_unknown_in_parts(stored)
     callers = None
     if found.tenants is not None:
         callers = {
@@ -197,16 +205,17 @@
 
 
 def read_instance(stored: StoredObject) -> UpstreamEntry:
-    """Decode the entry of an upstream instance; its name is its id.
+    """Decode the entry of an upstream instance, whose id is its name.
 
-    Others may write there too, so an entry is taken only as an instance writes
-    it: with every field, each of its own type.
+    Other programs may write entries too. An entry is therefore accepted only
+    in the form that instances write: with all fields, and without conversion
+    of types.
 
     Raises:
-        LacewingdockError: BAD_MANIFEST, naming the field.
+        LacewingdockError: BAD_MANIFEST, naming the invalid field.
     """
     found = _convert(stored, _Server, strict=True)
-    host, port = _address(stored, found.address)
+    host, port = _parse_address(stored, found.address)
     return UpstreamEntry(
         id=stored.name,
         service=found.service,
@@ -223,7 +232,7 @@
     )
 
 
-def _address(stored: StoredObject, text: str) -> tuple[str, int]:
+def _parse_address(stored: StoredObject, text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     try:
         socket.inet_pton(socket.AF_INET, host)
@@ -231,15 +240,17 @@
     except (OSError, ValueError):
         number = 0
     if not 0 < number <= MAX_PORT:
-        raise _faulty(stored, f"address: {text!r}")
+        raise _invalid_document(
+            stored, f"address: expected IPv4:PORT, got {text!r}"
+        )
     return host, number
 
 
 def read_shift(stored: StoredObject) -> ShiftOrder:
-    """Decode an order to roll a version out, with what became of it.
+    """Decode an order to roll out a version, together with its state.
 
     Raises:
-        LacewingdockError: BAD_MANIFEST, naming the field.
+        LacewingdockError: BAD_MANIFEST, naming the invalid field.
     """
     found = _convert(stored, _Rollout)
     status = _RolloutStatus()
@@ -247,9 +258,10 @@
         try:
             status = msgspec.convert(stored.status, _RolloutStatus)
         except msgspec.ValidationError as error:
-            raise _faulty(stored, f"status: {error}") from error
+            raise _invalid_document(stored, f"status: {error}") from error
     state = ShiftState.ORDERED
-    # The status of an earlier order stays until this one's is written.
+    # The object keeps the status of an earlier order until that of this order
+    # is written.
     if status.target == found.target and status.state in list(ShiftState):
         state = ShiftState(status.state)
     return ShiftOrder(
@@ -263,7 +275,7 @@
 
 
 def shift_status(order: ShiftOrder, state: ShiftState) -> dict[str, Any]:
-    """Encode what became of an order."""
+    """Encode the state of an order as the status of its object."""
     return {"state": state.value, "target": order.target}
 
 
@@ -273,39 +285,39 @@
     try:
         found = msgspec.convert(stored.spec, cls, strict=strict)
     except msgspec.ValidationError as error:
-        raise _faulty(stored, str(error)) from error
-    _note_unknown(stored.name, cls, [stored.spec])
+        raise _invalid_document(stored, str(error)) from error
+    _record_unknown_fields(stored.name, cls, [stored.spec])
     return found
 
 
-def _note_parts(stored: StoredObject) -> None:
-    """Note what the parts of a valid configuration say beside what is read."""
+def _record_unknown_in_parts(stored: StoredObject) -> None:
+    """Record the unknown fields in all parts of a valid configuration."""
     spec = stored.spec
     services = spec.get("services") or []
     engines = [one["engine"] for one in services if one.get("engine")]
-    _note_unknown(stored.name, _Route, spec["routes"])
-    _note_unknown(stored.name, _Service, services)
-    _note_unknown(stored.name, _Engine, engines)
-    _note_unknown(stored.name, _Limits, [spec.get("limits") or {}])
-    _note_unknown(stored.name, _Tenant, spec.get("tenants") or [])
+    _record_unknown_fields(stored.name, _Route, spec["routes"])
+    _record_unknown_fields(stored.name, _Service, services)
+    _record_unknown_fields(stored.name, _Engine, engines)
+    _record_unknown_fields(stored.name, _Limits, [spec.get("limits") or {}])
+    _record_unknown_fields(stored.name, _Tenant, spec.get("tenants") or [])
 
 
-def _note_unknown(
+def _record_unknown_fields(
     source: str, cls: type[Any], found: Iterable[dict[str, Any]]
 ) -> None:
-    """Note fields that nothing reads, named with what they belong to.
+    """Record unknown fields, each with the name of its part of the object.
 
     Args:
         source: Name of the object.
-        cls: What was read of it, or of its parts.
-        found: The parts, as they came.
+        cls: Type that the object, or some of its parts, was decoded to.
+        found: The object or parts before decoding.
     """
-    names = {name for one in found for name in one.keys() - _KNOWN[cls]}
+    names = {name for one in found for name in one.keys() - _KNOWN_FIELDS[cls]}
     part = cls.__name__.strip("_").lower()
     unknown_fields.met(source, sorted(f"{part}.{name}" for name in names))
 
 
-def _faulty(stored: StoredObject, detail: str) -> LacewingdockError:
+def _invalid_document(stored: StoredObject, detail: str) -> LacewingdockError:
     return LacewingdockError(
         ErrorKind.BAD_MANIFEST,
         f"{stored.name} at revision"
@@ -333,7 +345,7 @@
 
 
 def _repeat(found: _Route) -> Repeat:
-    """Return the contract; a kind that is not known runs once at most."""
+    """Return whether requests may be repeated; an unknown kind runs once."""
     if found.kind == _IDEMPOTENT:
         return Repeat.IDEMPOTENT
     if found.kind == _STREAMING and found.resumable:
--- a/lacewingdock/platform/engine_report.py
+++ b/lacewingdock/platform/engine_report.py
@@ -1,4 +1,4 @@
-"""Support for reading an engine's report of its work."""
+"""Client of an engine's load report."""
 
 import http.client
 
@@ -8,55 +8,57 @@
 from lacewingdock.world.engine_load import EngineLoad
 
 PATH = "/report"
+# Bytes of a report that are read.
 MAX_BYTES = 1024 * 1024
 
 
 class _Report(msgspec.Struct):
     active: int
     queued: int
-    # Each run is (request id, tokens in memory, events made, priority).
+    # Each run is (request id, tokens in memory, events produced, priority).
     runs: list[tuple[str, int, int, int]] = []
 
 
 def decode_report(body: bytes) -> EngineLoad:
-    """Decode a report.
+    """Decode a load report.
 
     Raises:
-        LacewingdockError: UPSTREAM_FAILED where it is none.
+        LacewingdockError: UPSTREAM_FAILED if the body is not a valid report.
     """
     try:
         found = msgspec.json.decode(body, type=_Report)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise _unread(str(error)) from error
+        raise _report_error(str(error)) from error
     if found.active < 0 or found.queued < 0:
-        raise _unread("fewer requests than none")
+        raise _report_error("negative number of requests")
     events = {request: events for request, _, events, _ in found.runs}
     return EngineLoad(found.active, found.queued, events)
 
 
 class ReportReader:
-    """Reads the report of the engine on this instance, again and again.
+    """Reads the engine's load report over a connection that is kept open.
 
     Attributes:
-        host: The engine's IP number.
-        port: Its port.
-        timeout_s: Seconds after which a read has failed.
+        host: IP address of the engine.
+        port: Port of the engine.
+        timeout_s: Timeout of a read, in seconds.
     """
 
     __slots__ = ("_connection", "host", "port", "timeout_s")
 
     def __init__(self, host: str, port: int, timeout_s: float) -> None:
-        """Take where the engine is; `read` connects."""
+        """Set up a reader of the engine at an address; `read` connects."""
         self.host = host
         self.port = port
         self.timeout_s = timeout_s
         self._connection: http.client.HTTPConnection | None = None
 
     def read(self) -> EngineLoad:
-        """Read the report.
+        """Read the current report.
 
         Raises:
-            LacewingdockError: UPSTREAM_FAILED.
+            LacewingdockError: UPSTREAM_FAILED if the engine does not answer
+                with a valid report.
         """
         if self._connection is None:
             self._connection = http.client.HTTPConnection(
@@ -68,18 +70,18 @@
             body = answer.read(MAX_BYTES)
         except (OSError, http.client.HTTPException) as error:
             self.close()
-            raise _unread(repr(error)) from error
+            raise _report_error(repr(error)) from error
         if answer.status != http.HTTPStatus.OK:
             self.close()
-            raise _unread(f"status {answer.status}")
+            raise _report_error(f"status {answer.status}")
         return decode_report(body)
 
     def close(self) -> None:
-        """Close the connection; the next read opens another."""
+        """Close the connection; the next read opens another one."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
 
-def _unread(detail: str) -> LacewingdockError:
+def _report_error(detail: str) -> LacewingdockError:
     return LacewingdockError(ErrorKind.UPSTREAM_FAILED, f"report: {detail}")
--- a/lacewingdock/platform/eras.py
+++ b/lacewingdock/platform/eras.py
@@ -1,9 +1,9 @@
-"""Support for the eras of the platform's store.
+"""Tracking of the era of the platform's store.
 
-The store may come back from an older copy of itself. What it acknowledged
-since is lost then, and its revisions go back and are given out again. Each of
-its answers names the era of the history that it is from, which is one higher
-after each such return.
+The store may be restored from an older copy of itself. It then loses the
+writes that it acknowledged after the copy was made, and its counts go back and
+are reused. Each answer names the era of the history that it is from, which is
+one higher after each restore.
 """
 
 import threading
@@ -21,20 +21,22 @@
 
 
 class EarlierEraError(LacewingdockError):
-    """An answer of a history that the store has lost since; it says nothing."""
+    """An answer from before a restore, which may show state lost since."""
 
 
 class StoreEras:
-    """The era that the store's answers name; safe to use from any task.
+    """Tracker of the store's current era; safe to use from any task.
 
     Attributes:
-        clock: The time it goes by.
-        era: The era; 0 where no answer named one.
-        since: Monotonic time at which it was first named.
-        returns: How often it changed.
-        passed_over: Answers of an earlier era.
-        odd: Answers that named none after others did, or nothing readable.
-        on_return: Called when the era changes, by the task that learns of it.
+        clock: Source of monotonic time.
+        era: Current era; 0 until an answer names one.
+        since: Monotonic time at which the current era was first observed.
+        restores: Number of changes of the era.
+        stale_answers: Number of answers rejected for an earlier era.
+        unreadable: Number of answers with an unreadable era, or without one
+            after an earlier answer named one.
+        on_restore: Callbacks for a change of the era, run by the task that
+            observes the change.
     """
 
     __slots__ = (
@@ -49,7 +51,7 @@
     )
 
     def __init__(self, clock: Clock = STEADY) -> None:
-        """Start without a known era."""
+        """Start without an era, on a clock of monotonic time."""
         self.clock = clock
         self.era = 0
         self.since = 0.0
@@ -60,59 +62,61 @@
         self._lock = threading.Lock()
 
     def observe_peer_era(self, era: int) -> None:
-        """Take the era of another router's copy, which may be ahead.
+        """Apply the era of another router's copy, which may be later.
 
-        This router's own answers take it back if the store never had it.
+        If the store never had that era, its answer to this router's next call
+        sets the era back.
         """
         with self._lock:
-            before = self.era
-            if era <= before:
+            previous = self.era
+            if era <= previous:
                 return
             self._enter(era)
-        self._tell(era, before)
+        self._notify(era, previous)
 
     def observe(
-        self, values: Sequence[str], began: float, *, stale: bool = False
+        self, values: Sequence[str], began_at: float, *, stale: bool = False
     ) -> int:
-        """Take what an answer says.
+        """Update the era from an answer.
 
-        One without a readable era counts as of the known one: the store's own
-        answers all bear it, and what is no answer of the store's must not
-        keep this router from the others.
+        An answer without a readable era counts as of the current era. The
+        store names the era in each answer, so such an answer is not the
+        store's, and it must not stop the router from using the store's own.
 
-        An earlier era than the known one is that of a late answer, to a call
-        that began before the store's return, or of a read that may be behind.
-        Named in answer to a later call, it is the store's, and the known one
-        was not: an answer that was none of its own must not make a router deaf
-        for good.
+        An era earlier than the current one is rejected if the call began
+        before the current era was observed, since the answer is late, or if
+        the read may be stale. In the answer to a later call it replaces the
+        current era, which then was not the store's: one wrong header must not
+        make the router reject all of the store's answers from then on.
 
         Args:
-            values: The values of its header, one each time that it has it.
-            began: Monotonic time at which the call began.
-            stale: Whether the answer may be behind.
+            values: Values of the answer's era headers, one for each header.
+            began_at: Monotonic time at which the call began.
+            stale: Whether the answer may be stale.
 
         Returns:
             The era of the answer.
 
         Raises:
-            EarlierEraError: It says nothing of the present.
+            EarlierEraError: The answer is of an earlier era and is late or
+                stale.
         """
         named = read_era(values)
         with self._lock:
-            before = self.era
+            previous = self.era
             if named is None:
-                self.unreadable += bool(values or before)
-                return before
-            if named == before:
+                self.unreadable += bool(values or previous)
+                return previous
+            if named == previous:
                 return named
-            if named < before and (stale or began <= self.since):
+            if named < previous and (stale or began_at <= self.since):
                 self.stale_answers += 1
                 raise EarlierEraError(
                     ErrorKind.PLATFORM_UNAVAILABLE,
-                    f"an answer of era {named}, the store is in {before}",
+                    f"answer is of era {named}, but the store is in {previous}",
                 )
             self._enter(named)
-        self._tell(named, before)
+        self._notify(named, previous)
         return named
 
     def _enter(self, era: int) -> None:
@@ -120,17 +124,19 @@
         self.era = era
         self.since = self.clock.now()
 
-    def _tell(self, era: int, before: int) -> None:
-        if not before:
+    def _notify(self, era: int, previous: int) -> None:
+        if not previous:
             log.info("store era", era=era)
             return
-        log.warning("store back from a copy", era=era, before=before)
-        for told in self.on_restore:
-            told()
+        log.warning(
+            "store restored from an older copy", era=era, before=previous
+        )
+        for listener in self.on_restore:
+            listener()
 
 
 def read_era(values: Sequence[str]) -> int | None:
-    """Return the era that a header's values name; None where they do not."""
+    """Parse the values of the era headers; None unless they agree on one."""
     if len(set(values)) != 1:
         return None
     text = values[0].strip()
--- a/lacewingdock/platform/history.py
+++ b/lacewingdock/platform/history.py
@@ -1,32 +1,32 @@
-"""Support for places in the history of the platform's store.
+"""Revisions: positions in the history of the platform's store.
 
-The store counts its changes. When it comes back from an older copy of itself
-it counts on from there, so that a count is given out again for another change;
-the era that its answers name is one higher then. Outside of this folder a
-*revision* is the era and the count in one number, which only ever grows: a
-later era is beyond all of an earlier one.
+The store counts its changes. After a restore from an older copy it continues
+from the copy's count, so that it reuses counts for other changes; the era in
+its answers is then one higher. Outside of this folder a *revision* combines
+the era and the count in one number that only grows: each revision of a later
+era is greater than all revisions of an earlier era.
 """
 
 from typing import Annotated, Final
 
 import msgspec
 
-# Both fit the 63 bits of a signed number on every wire: a million returns, and
-# 8.8 trillion changes each.
+# Era and count together fill the 63 bits of a signed integer, as every encoding
+# can carry it: a million restores with 8.8 trillion changes each.
 COUNT_BITS: Final = 43
 MAX_COUNT: Final = 2**COUNT_BITS - 1
 MAX_ERA: Final = 2**20 - 1
 
-# A count as the store's answers bear it.
+# Resource version in the store's answers: its count of changes, without era.
 Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 
 
 def revision_of(era: int, count: int) -> int:
-    """Return the revision of a change.
+    """Combine an era and a count into a revision; 0 if the count is 0.
 
     Args:
-        era: The era of the store's history.
-        count: The store's own count in it; 0 says that there is none.
+        era: Era of the store's history.
+        count: The store's count of changes in that era; 0 means no change.
     """
     return era << COUNT_BITS | count if count else 0
 
@@ -37,20 +37,20 @@
 
 
 def count_of(revision: int) -> int:
-    """Return the store's own count of a revision."""
+    """Return the store's count of changes at a revision, without the era."""
     return revision & MAX_COUNT
 
 
-def have_same_count(one: int, other: int) -> bool:
-    """Whether two revisions are of the same count, in whatever eras.
+def have_same_count(first: int, second: int) -> bool:
+    """Return whether two revisions have the same count, in whichever eras.
 
-    An object that stands at one in both has not been written in between.
+    An object with the same count in two eras was not written in between.
     """
-    return count_of(one) == count_of(other)
+    return count_of(first) == count_of(second)
 
 
 def format_revision(revision: int | None) -> str:
-    """Return a revision as logs and reports show it: era and count."""
+    """Format a revision for logs and reports as "ERA.COUNT"; "" for None."""
     if revision is None:
         return ""
     return f"{era_of(revision)}.{count_of(revision)}"
--- a/lacewingdock/platform/metrics.py
+++ b/lacewingdock/platform/metrics.py
@@ -1,4 +1,4 @@
-"""Support for showing the calls to the platform as metrics."""
+"""Metrics of the calls to the platform."""
 
 from collections.abc import Iterator
 
@@ -9,20 +9,20 @@
 
 
 class PlatformCalls(Collector):
-    """Collects a store's calls by purpose.
+    """Prometheus collector of the numbers of calls, by purpose.
 
     Attributes:
-        store: The store.
+        store: Client whose calls are collected.
     """
 
     __slots__ = ("store",)
 
     def __init__(self, store: ObjectApi) -> None:
-        """Take the store."""
+        """Collect the calls of a client of the store."""
         self.store = store
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the counts as they are now."""
+        """Yield the current counters."""
         yield _by_purpose(
             "calls",
             "Calls to the platform; a waiting watch is one",
--- a/lacewingdock/platform/object_api.py
+++ b/lacewingdock/platform/object_api.py
@@ -1,7 +1,7 @@
-"""Support for the platform's object API: its calls and their answers.
+"""Client of the platform's object API.
 
-This module is the only one that knows the API's protocol. Another object API
-with versions, conditional updates and watches needs another of these.
+Only this module depends on the API's protocol. Supporting another object API
+with revisions, conditional updates and watches takes another module like it.
 """
 
 import contextlib
@@ -36,20 +36,24 @@
     PageAnswer,
     Snapshot,
     StoredObject,
-    object_of,
-    readable,
+    decode_objects,
+    to_stored_object,
 )
 
+# Seconds for a call, apart from the time for which a watch waits.
 CALL_TIMEOUT_S: Final = 2.0
+# Milliseconds to open a connection.
 CONNECT_TIMEOUT_MS: Final = 1000
+# Revision that stands for an object that does not exist.
 ABSENT: Final = 0
 
-# A listing beyond this would take the daemon's whole memory.
+# Bytes of an answer's body; a longer list could exhaust the daemon's memory.
 MAX_ANSWER_BYTES: Final = 32 * 1024 * 1024
 
+# Return value of a write callback that makes pycurl abort the transfer.
 _ABORT: Final = -1
-# Answers that say that nothing was done.
-_NOT_DONE: Final = (
+# Statuses with which the platform reports that it did not apply a write.
+_NOT_APPLIED: Final = (
     HTTPStatus.TOO_MANY_REQUESTS,
     HTTPStatus.SERVICE_UNAVAILABLE,
 )
@@ -60,7 +64,7 @@
 
 
 class HistoryGoneError(Exception):
-    """The store does not have the history after a revision: list again."""
+    """The store no longer has the changes since a revision; list again."""
 
 
 @dataclass(slots=True)
@@ -68,9 +72,9 @@
     """An HTTP answer of the platform.
 
     Attributes:
-        status: HTTP status; one that `_call` was told to expect.
-        body: The body, not decoded.
-        era: The era of the store's history that it is from.
+        status: HTTP status: 200, or one that the caller of `_call` accepts.
+        body: Undecoded body.
+        era: Era of the store's history that the answer is from.
     """
 
     status: int
@@ -82,17 +86,17 @@
     """A client of the object API; safe to use from any task.
 
     Attributes:
-        url: Where the platform answers.
-        calls: Calls made so far, by purpose; a waiting watch is one.
-        failures: Those of them without a usable answer, by purpose.
-        budget: Bounds the calls.
-        eras: The eras of the store's history.
+        url: URL of the platform.
+        calls: Number of calls made, by purpose; a waiting watch is one call.
+        failures: Number of calls without a usable answer, by purpose.
+        budget: Rate limit of the calls.
+        eras: Tracker of the era of the store's history.
     """
 
     __slots__ = ("_local", "budget", "calls", "eras", "failures", "url")
 
     def __init__(self, url: str) -> None:
-        """Take the platform's URL."""
+        """Set up a client of the platform at a URL; no call is made yet."""
         self.url = url
         self.calls: dict[str, int] = {}
         self.failures: dict[str, int] = {}
@@ -101,17 +105,17 @@
         self._local = threading.local()
 
     def read(self, kind: str, name: str, purpose: str) -> StoredObject | None:
-        """Read an object; None where there is none.
+        """Read an object; None if it does not exist.
 
         Raises:
             LacewingdockError: PLATFORM_UNAVAILABLE.
         """
         reply = self._call(
-            "GET", _path(kind, name), purpose, also=(HTTPStatus.NOT_FOUND,)
+            "GET", _path(kind, name), purpose, accepted=(HTTPStatus.NOT_FOUND,)
         )
         if reply.status == HTTPStatus.NOT_FOUND:
             return None
-        return object_of(_decode(reply, ObjectAnswer, RAN_NO), reply.era)
+        return to_stored_object(_decode(reply, ObjectAnswer, RAN_NO), reply.era)
 
     def list_kind(
         self,
@@ -123,16 +127,16 @@
     ) -> Snapshot:
         """Read all objects of a kind, page by page.
 
-        Pages are read one after the other, so an object may change between
-        two of them: the snapshot counts as complete up to the revision of the
-        first, and a watch from there shows what changed since.
+        An object may change between the reads of two pages. The snapshot
+        therefore has the revision of the first page, and a watch from that
+        revision returns the changes made since.
 
         Args:
             kind: The kind.
-            purpose: What the call is for, in the count of calls.
-            stale: Whether an answer that is seconds old will do; it costs a
-                tenth.
-            timeout_s: Seconds that each page may take.
+            purpose: Label of the call in `calls` and `failures`.
+            stale: Whether the answer may be seconds old; such a read costs
+                the platform a tenth.
+            timeout_s: Timeout for each page, in seconds.
 
         Raises:
             LacewingdockError: PLATFORM_UNAVAILABLE.
@@ -149,8 +153,8 @@
             if found is None:
                 found = Snapshot(revision_of(reply.era, page.current_rev))
             elif era_of(found.revision) != reply.era:
-                raise unavailable("back from a copy between two pages", RAN_NO)
-            items = readable(page.items, reply.era)
+                raise unavailable("store restored between two pages", RAN_NO)
+            items = decode_objects(page.items, reply.era)
             found.objects |= {item.name: item for item in items}
             if not page.has_more or not items:
                 return found
@@ -170,20 +174,21 @@
 
         Args:
             kind: The kind.
-            revision: What is known already.
-            wait_s: Seconds to wait for a change; 0 asks for those that are.
-            purpose: What the call is for, in the count of calls.
-            grace_s: Seconds more that its answer may take.
-            stale: As of `list_kind`.
+            revision: Revision after which changes are returned.
+            wait_s: Seconds to wait for a change; 0 returns at once with the
+                changes made so far.
+            purpose: Label of the call in `calls` and `failures`.
+            grace_s: Seconds that the answer may take beyond the wait.
+            stale: As in `list_kind`.
 
         Returns:
-            The changes, none when the wait ran out.
+            The changes; none if the wait ran out.
 
         Raises:
             LacewingdockError: PLATFORM_UNAVAILABLE.
-            HistoryGoneError: The revision is too old, or of another era: the
-                store may have given its count out again, and what came
-                before it would go unseen.
+            HistoryGoneError: The revision is too old, or of another era. In
+                a new era the store may have reached the same count with
+                other changes, which the watch would miss.
         """
         if era_of(revision) != self.eras.era:
             raise HistoryGoneError
@@ -195,7 +200,7 @@
             "GET",
             f"{_path(kind)}?{query}",
             purpose,
-            also=(HTTPStatus.GONE,),
+            accepted=(HTTPStatus.GONE,),
             timeout_s=wait_s + grace_s,
             stale=stale,
         )
@@ -207,7 +212,7 @@
             [
                 ObjectChange(one, event.removed)
                 for event in found.events
-                for one in readable([event.object], reply.era)
+                for one in decode_objects([event.object], reply.era)
             ],
         )
 
@@ -219,12 +224,13 @@
         Args:
             kind: The kind.
             name: Name of the object.
-            spec: What `msgspec` can encode as JSON.
-            expect: Revision it must have; `ABSENT` for none.
-            purpose: What the call is for, in the count of calls.
+            spec: A value that `msgspec` can encode as JSON.
+            expect: Revision that the object must have; `ABSENT` if it must
+                not exist.
+            purpose: Label of the call in `calls` and `failures`.
 
         Returns:
-            Whether it was written, and the object as it is.
+            Whether the object was written, and its current state.
 
         Raises:
             LacewingdockError: PLATFORM_UNAVAILABLE, with ran "unknown" where
@@ -235,7 +241,7 @@
         if expect == ABSENT:
             return self._write("POST", _path(kind), name, body, purpose)
         if era_of(expect) != self.eras.era:
-            return False, self._present(kind, name, purpose)
+            return False, self._read_current(kind, name, purpose)
         metadata["revision"] = count_of(expect)
         path = _path(kind, name)
         return self._write("PUT", path, name, body, purpose, expect)
@@ -243,10 +249,11 @@
     def overwrite(
         self, kind: str, name: str, spec: Any, expect: int, purpose: str
     ) -> tuple[bool, StoredObject]:
-        """Write an object's spec, once more over what is there in its way.
+        """Write an object's spec; on a conflict, replace the current object.
 
-        For objects that one process alone writes, where another revision is
-        its own earlier write. Arguments and returns as `write`.
+        For objects with a single writer, where a conflicting revision is the
+        result of the writer's own earlier call. The second write may conflict
+        too and is not repeated. Arguments and return value as in `write`.
 
         Raises:
             LacewingdockError: As `write`.
@@ -265,7 +272,7 @@
             LacewingdockError: As `write`.
         """
         if era_of(expect) != self.eras.era:
-            return False, self._present(kind, name, purpose)
+            return False, self._read_current(kind, name, purpose)
         metadata = {"name": name, "revision": count_of(expect)}
         body = {"metadata": metadata, "status": status}
         path = f"{_path(kind, name)}/status"
@@ -275,23 +282,24 @@
         """Remove an object if its revision is the expected one.
 
         Returns:
-            Whether it is gone, by this call or another.
+            Whether the object is gone, by this call or another.
 
         Raises:
             LacewingdockError: As `write`.
         """
         if era_of(expect) != self.eras.era:
-            return not self._present(kind, name, purpose).revision
+            return not self._read_current(kind, name, purpose).revision
         path = f"{_path(kind, name)}?revision={count_of(expect)}"
-        also = (HTTPStatus.CONFLICT, HTTPStatus.NOT_FOUND)
-        reply = self._call("DELETE", path, purpose, also=also)
+        accepted = (HTTPStatus.CONFLICT, HTTPStatus.NOT_FOUND)
+        reply = self._call("DELETE", path, purpose, accepted=accepted)
         return reply.status != HTTPStatus.CONFLICT
 
-    def _present(self, kind: str, name: str, purpose: str) -> StoredObject:
-        """Return an object in place of a write that expects a lost state.
+    def _read_current(self, kind: str, name: str, purpose: str) -> StoredObject:
+        """Return the current object instead of writing over a lost state.
 
-        Its count may have been given out again, to a state that the writer
-        never saw: the write would go over that.
+        The expected revision is of an earlier era. The store may have reused
+        its count for a state that the writer never saw, and the write would
+        replace that state.
         """
         found = self.read(kind, name, purpose)
         return found or StoredObject(name, ABSENT)
@@ -310,7 +318,7 @@
             path,
             purpose,
             body,
-            also=(
+            accepted=(
                 HTTPStatus.CREATED,
                 HTTPStatus.CONFLICT,
                 HTTPStatus.NOT_FOUND,
@@ -318,11 +326,13 @@
         )
         if reply.status == HTTPStatus.NOT_FOUND:
             return False, StoredObject(name, ABSENT)
-        found = object_of(_decode(reply, ObjectAnswer, RAN_UNKNOWN), reply.era)
+        found = to_stored_object(
+            _decode(reply, ObjectAnswer, RAN_UNKNOWN), reply.era
+        )
         written = reply.status != HTTPStatus.CONFLICT
         if written and expect and reply.era != era_of(expect):
-            # The store came back on the way: what was written over may be
-            # another state than the one that was expected.
+            # The store was restored before the write arrived, so the write
+            # may have replaced another state than the expected one.
             raise unavailable(
                 f"{method} {path}: expected {format_revision(expect)},"
                 f" written at {format_revision(found.revision)}",
@@ -338,20 +348,21 @@
         body: Any = None,
         *,
         timeout_s: float = CALL_TIMEOUT_S,
-        also: tuple[int, ...] = (),
+        accepted: tuple[int, ...] = (),
         stale: bool = False,
     ) -> Reply:
-        """Make one call; any status not expected is an unavailable platform.
+        """Make one call.
 
-        What answers need not be the platform: a balancer before it sends
-        pages of its own. Taken for an answer, such a page would end the task
-        that reads the configuration, and this daemon would keep the old one
-        for good.
+        Statuses other than 200 and those in `accepted` raise
+        PLATFORM_UNAVAILABLE, since a load balancer before the platform may
+        answer with pages of its own. Accepting such a page would end the task
+        that reads the configuration, and the daemon would keep the old
+        configuration forever.
         """
         self.budget.take()
-        began = STEADY.now()
+        began_at = STEADY.now()
         self.calls[purpose] = self.calls.get(purpose, 0) + 1
-        curl = self._handle()
+        curl = self._curl_handle()
         received = io.BytesIO()
         headers = [
             f"Purpose: {purpose}",
@@ -359,13 +370,13 @@
             "Content-Type: application/json",
         ]
 
-        def take(data: bytes) -> int | None:
+        def receive(data: bytes) -> int | None:
             received.write(data)
             return None if received.tell() <= MAX_ANSWER_BYTES else _ABORT
 
         eras: list[str] = []
 
-        def note(line: bytes) -> None:
+        def read_header(line: bytes) -> None:
             name, _, value = line.partition(b":")
             if name.strip().lower() == ERA_HEADER.encode():
                 eras.append(value.decode("latin-1").strip())
@@ -373,8 +384,8 @@
         curl.setopt(pycurl.URL, self.url + path)
         curl.setopt(pycurl.HTTPHEADER, headers)
         curl.setopt(pycurl.TIMEOUT_MS, int(timeout_s * 1000))
-        curl.setopt(pycurl.WRITEFUNCTION, take)
-        curl.setopt(pycurl.HEADERFUNCTION, note)
+        curl.setopt(pycurl.WRITEFUNCTION, receive)
+        curl.setopt(pycurl.HEADERFUNCTION, read_header)
         if body is None:
             curl.setopt(pycurl.HTTPGET, 1)
         else:
@@ -388,23 +399,23 @@
             self._count_failure(purpose)
             raise unavailable(f"{method} {path}: {error}", ran) from error
         status = int(curl.getinfo(pycurl.RESPONSE_CODE))
-        if status == HTTPStatus.OK or status in also:
+        if status == HTTPStatus.OK or status in accepted:
             try:
-                era = self.eras.observe(eras, began, stale=stale)
+                era = self.eras.observe(eras, began_at, stale=stale)
             except EarlierEraError as error:
                 error.ran = ran
                 raise
             return Reply(status, received.getvalue(), era)
         self._count_failure(purpose)
-        if status in _NOT_DONE:
+        if status in _NOT_APPLIED:
             ran = RAN_NO
         raise unavailable(f"{method} {path}: status {status}", ran)
 
     def _count_failure(self, purpose: str) -> None:
         self.failures[purpose] = self.failures.get(purpose, 0) + 1
 
-    def _handle(self) -> pycurl.Curl:
-        """One handle a task keeps its connection open between calls."""
+    def _curl_handle(self) -> pycurl.Curl:
+        """Return the thread's handle, which keeps its connection open."""
         curl = getattr(self._local, "curl", None)
         if curl is None:
             curl = self._local.curl = pycurl.Curl()
@@ -412,15 +423,15 @@
             curl.setopt(pycurl.NOPROXY, "*")
             curl.setopt(pycurl.CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS)
             curl.setopt(pycurl.TCP_NODELAY, 1)
-            # Every coding the library knows; the instance list shrinks to a
-            # tenth.
+            # Accepts every coding that libcurl supports; compression
+            # shrinks the instance list to a tenth.
             curl.setopt(pycurl.ACCEPT_ENCODING, "")
         return curl
 
     def drop_connection(self, kind: str) -> None:
-        """Close the connection of the task that calls, which asks for a kind.
+        """Close the calling task's connection, which it uses to read a kind.
 
-        Its next call opens another.
+        The task's next call opens another connection.
         """
         log.debug("connection dropped", kind=kind)
         self._drop_handle()
@@ -434,7 +445,12 @@
 
 
 def unavailable(detail: str, ran: str) -> LacewingdockError:
-    """Return the coded error of a call without a usable answer."""
+    """Return the PLATFORM_UNAVAILABLE error of a call.
+
+    Args:
+        detail: The call, and why its answer is missing or unusable.
+        ran: Whether the call may have taken effect.
+    """
     return LacewingdockError(ErrorKind.PLATFORM_UNAVAILABLE, detail, ran)
 
 
@@ -444,12 +460,19 @@
 
 
 def _decode(reply: Reply, cls: type[T], ran: str) -> T:
-    """Decode an answer's body; `ran` says whether the call took effect.
+    """Decode an answer's body.
+
+    Args:
+        reply: The answer.
+        cls: Type of the decoded body.
+        ran: Whether the call may have taken effect, for the error.
 
     Raises:
-        LacewingdockError: PLATFORM_UNAVAILABLE when it is something else.
+        LacewingdockError: PLATFORM_UNAVAILABLE if the body is not a `cls`.
     """
     try:
         return cast("T", decode_json(reply.body, cls))
     except msgspec.DecodeError as error:
-        raise unavailable(f"undecodable answer: {error}", ran) from error
+        raise unavailable(
+            f"could not decode the answer: {error}", ran
+        ) from error
--- a/lacewingdock/platform/objects.py
+++ b/lacewingdock/platform/objects.py
@@ -1,4 +1,4 @@
-"""Support for the objects of the platform's store: types and decoding."""
+"""Types and decoding of the objects in the platform's store."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -14,15 +14,17 @@
 
 @dataclass(slots=True)
 class StoredObject:
-    """An object as the platform holds it.
+    """An object in the platform's store.
 
     Attributes:
-        name: Its name among its kind.
-        revision: Revision of its last change, growing over all objects and
-            over the store's returns from a copy; see `history`.
-        spec: What was asked for, as decoded JSON.
-        status: What its keeper reports of it, as decoded JSON.
-        created: Revision of its first writing; 0 where not said.
+        name: Name of the object, unique within its kind.
+        revision: Revision of the last change. It grows over all objects, also
+            when the store is restored from an older copy; see `history`.
+        spec: Desired state, as decoded JSON.
+        status: Observed state that the object's controller reports, as
+            decoded JSON.
+        created: Revision at which the object was created; 0 if the store did
+            not report it.
     """
 
     name: str
@@ -45,10 +47,11 @@
     """A change of one object.
 
     Attributes:
-        object: The object; a removed one in its last state.
-        removed: Whether it is there no more.
-        unlisted: Whether all that shows it is that a list lacks it: it may
-            have lapsed, or the store may have lost it.
+        object: The object; if it was removed, its last state.
+        removed: Whether the object was removed.
+        unlisted: Whether the removal is only inferred from the object's
+            absence in a list: the object may have expired, or the store may
+            have lost it.
     """
 
     object: StoredObject
@@ -65,7 +68,7 @@
 
 
 class Metadata(msgspec.Struct):
-    """What the store says of an object."""
+    """Name and revisions of an object, as in the store's answers."""
 
     name: str
     revision: Count
@@ -73,14 +76,16 @@
 
 
 class ObjectAnswer(msgspec.Struct):
-    """An object as the store answers with it."""
+    """An object in an answer of the store."""
 
     metadata: Metadata
     spec: Any = None
     status: Any = None
 
 
-class _Named(msgspec.Struct):
+class _NamedObject(msgspec.Struct):
+    """An object of which only the metadata is decoded."""
+
     metadata: Metadata
 
 
@@ -93,7 +98,7 @@
 
 
 class EventAnswer(msgspec.Struct):
-    """A change that a watch shows."""
+    """A change in the answer of a watch."""
 
     object: msgspec.Raw
     removed: bool = False
@@ -106,12 +111,12 @@
     current_rev: Count
 
 
-def object_of(found: ObjectAnswer, era: int) -> StoredObject:
-    """Return an object of an answer.
+def to_stored_object(found: ObjectAnswer, era: int) -> StoredObject:
+    """Convert an object of an answer.
 
     Args:
-        found: The object.
-        era: The era of the answer.
+        found: The object as decoded.
+        era: Era of the answer, which completes its revisions.
     """
     metadata = found.metadata
     return StoredObject(
@@ -123,30 +128,33 @@
     )
 
 
-def readable(items: list[msgspec.Raw], era: int) -> list[StoredObject]:
-    """Decode objects, each by itself: an odd one must not hide the others.
+def decode_objects(items: list[msgspec.Raw], era: int) -> list[StoredObject]:
+    """Decode objects one by one, so that a bad one does not hide the others.
 
-    One whose content can't be decoded stands there without content, so that
-    what it replaces is not taken to be there still.
+    An object whose content can't be decoded is returned without content, so
+    that readers do not keep the state that it replaced. An object without
+    readable metadata is left out. Both are logged.
     """
     found = []
     for item in items:
         try:
-            found.append(object_of(decode_json(bytes(item), ObjectAnswer), era))
+            found.append(
+                to_stored_object(decode_json(bytes(item), ObjectAnswer), era)
+            )
         except msgspec.DecodeError as error:
-            if named := _without_content(item, era):
+            if named := _decode_name_only(item, era):
                 found.append(named)
             log.error(
-                "undecodable object",
+                "could not decode object",
                 object=named.name if named else "",
                 error=str(error),
             )
     return found
 
 
-def _without_content(item: msgspec.Raw, era: int) -> StoredObject | None:
+def _decode_name_only(item: msgspec.Raw, era: int) -> StoredObject | None:
     try:
-        metadata = decode_json(bytes(item), _Named).metadata
+        metadata = decode_json(bytes(item), _NamedObject).metadata
     except msgspec.DecodeError:
         return None
     return StoredObject(metadata.name, revision_of(era, metadata.revision))
--- a/lacewingdock/platform/profile.py
+++ b/lacewingdock/platform/profile.py
@@ -1,4 +1,4 @@
-"""Support for the settings file that the platform writes for a process."""
+"""Reading of the settings file that the platform writes for a process."""
 
 from pathlib import Path
 from typing import Annotated, Any
@@ -33,7 +33,8 @@
     retry_budget_extra: Annotated[float, Meta(ge=0.0)] = 10.0
     exposure_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.1
     session_s: Annotated[float, Meta(ge=0.0)] = 0.0
-    # Time to stop sending to a failure domain; missing where none is emptied.
+    # Time to stop sending to a cordoned failure domain; absent on platforms
+    # that never cordon one.
     evacuate_ms: Annotated[float, Meta(ge=0.0)] = 0.0
     cold_overage: Annotated[float, Meta(ge=0.0)] = 1.0
     cold_tolerance: Annotated[float, Meta(ge=0.0)] = 0.0
@@ -49,8 +50,8 @@
     max_fds: Annotated[int, Meta(gt=0)] = 1024
 
 
-class _Place(msgspec.Struct):
-    """What the files of all instances say."""
+class _CommonFile(msgspec.Struct):
+    """Settings in the files of routers and sidecars alike."""
 
     node_name: Annotated[str, Meta(min_length=1)]
     ip: Annotated[str, Meta(pattern=r"^[0-9.]+\Z")]
@@ -59,18 +60,18 @@
     platform: _Platform
 
 
-class _RouterFile(_Place):
+class _RouterFile(_CommonFile):
     listen: _Listen
-    # How often upstream instances renew their entries.
+    # Interval at which upstream instances renew their entries.
     heartbeat_ms: _Positive = 1200.0
-    # Control addresses of some instances; they may be down by now.
+    # Control addresses of some routers, which may be down by now.
     seeds: list[_Address] = []
     bounds: _Bounds = msgspec.field(default_factory=_Bounds)
     limits: _Limits = msgspec.field(default_factory=_Limits)
 
 
 def load_profile(path: str) -> HostProfile | SidecarProfile:
-    """Read and check a settings file, of a router or of a sidecar.
+    """Read and validate the settings file of a router or a sidecar.
 
     Raises:
         LacewingdockError: BAD_SETTING, naming key and value.
@@ -82,10 +83,10 @@
 
 
 def read_text(path: str) -> str:
-    """Return a settings file's text.
+    """Return the text of a settings file.
 
     Raises:
-        LacewingdockError: BAD_SETTING, when it can't be read.
+        LacewingdockError: BAD_SETTING if the file can't be read.
     """
     try:
         return Path(path).read_text("utf-8")
@@ -95,17 +96,17 @@
         ) from error
 
 
-class _SidecarFile(_Place):
-    # Where the engine on this instance takes calls.
+class _SidecarFile(_CommonFile):
+    # Address on which the engine on this instance accepts requests.
     app: _Address
 
 
 def parse_profile(text: str, path: str) -> HostProfile:
-    """Check the text of a settings file.
+    """Parse and validate the text of a router's settings file.
 
     Args:
-        text: What it holds.
-        path: Where it lies, for errors.
+        text: Text of the file, in TOML.
+        path: Path of the file, for errors.
 
     Raises:
         LacewingdockError: BAD_SETTING, naming key and value.
@@ -114,7 +115,11 @@
 
 
 def read_profile(found: dict[str, Any], path: str) -> HostProfile:
-    """Check settings and turn them into the product's own.
+    """Validate a router's settings and convert them to a profile.
+
+    Args:
+        found: The settings file as parsed TOML.
+        path: Path of the file, for errors.
 
     Raises:
         LacewingdockError: BAD_SETTING, naming key and value.
@@ -157,7 +162,11 @@
 
 
 def parse_sidecar_profile(text: str, path: str) -> SidecarProfile:
-    """Check the settings of an instance beside an engine.
+    """Parse and validate the text of a sidecar's settings file.
+
+    Args:
+        text: Text of the file, in TOML.
+        path: Path of the file, for errors.
 
     Raises:
         LacewingdockError: BAD_SETTING, naming key and value.
@@ -168,7 +177,8 @@
     if not port:
         raise LacewingdockError(
             ErrorKind.BAD_SETTING,
-            f"{path}: port_range has no third port, {file.port_range}",
+            f"{path}: port_range must have at least three ports, got"
+            f" {file.port_range}",
         )
     return SidecarProfile(
         instance=file.node_name,
@@ -181,19 +191,22 @@
 
 
 def _relay_port(ports: list[int]) -> int:
-    """Return the second port of the range; 0 where it has only one."""
+    """Return the second port of the range; 0 if it has only one."""
     first, last = ports
     return first + 1 if first < last else 0
 
 
 def _probe_port(ports: list[int]) -> int:
-    """Return the third port of the range; 0 where it has fewer."""
+    """Return the third port of the range; 0 if it has fewer."""
     first, last = ports
     return first + 2 if first + 1 < last else 0
 
 
 def _peer_address(file: _RouterFile) -> tuple[str, int]:
-    """Return where other routers call: the control address if there is one."""
+    """Return the address for other routers.
+
+    It is the control address, or else the first port of the range.
+    """
     if file.listen.control:
         return split_address(file.listen.control)
     return file.ip, file.port_range[0]
--- a/lacewingdock/platform/ratings.py
+++ b/lacewingdock/platform/ratings.py
@@ -1,7 +1,7 @@
-"""Support for the service that rates answers.
+"""Client of the service that rates answers.
 
-It gives a rough verdict on an answer at once, and a rating of a sample
-some time after it was handed in.
+The service returns a rough verdict on an answer at once, and a rating of a
+sample some time after the sample was submitted.
 """
 
 import urllib.parse
@@ -16,7 +16,9 @@
 from lacewingdock.helpers.http_client import send
 from lacewingdock.helpers.json import decode_json
 
+# Seconds for a call.
 TIMEOUT_S: Final = 1.0
+# Bytes of an answer's body.
 MAX_ANSWER_BYTES: Final = 1024 * 1024
 
 Score = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
@@ -25,12 +27,12 @@
 
 @dataclass(slots=True)
 class RatingSample:
-    """An answer handed in for a rating.
+    """An answer that is submitted for a rating.
 
     Attributes:
-        id: Names it in the results.
-        messages: What was asked.
-        answer: What was answered.
+        id: Id of the sample in the ratings.
+        messages: Messages of the request.
+        answer: Text of the answer.
     """
 
     id: str
@@ -39,19 +41,19 @@
 
 
 @dataclass(slots=True)
-class Result:
-    """A rating of a sample, 0 to 1."""
+class SampleRating:
+    """The rating of a sample, from 0 to 1."""
 
     id: str
     rating: Score
 
 
 @dataclass(slots=True)
-class Results:
-    """Ratings that came after some earlier one, and the last one's number."""
+class RatingPage:
+    """Ratings after a position, and the position of the last of them."""
 
     after: int
-    ratings: list[Result]
+    ratings: list[SampleRating]
 
 
 @dataclass(slots=True)
@@ -63,41 +65,41 @@
     """A client of the rating service.
 
     Attributes:
-        url: Where it answers.
+        url: URL of the service.
     """
 
     __slots__ = ("url",)
 
     def __init__(self, url: str) -> None:
-        """Take the service's URL."""
+        """Set up a client of the service at a URL."""
         self.url = url
 
     def rate(self, messages: list[dict[str, Any]], text: str) -> float:
-        """Return the verdict on an answer, from 0 to 1.
+        """Return the service's immediate verdict on an answer, from 0 to 1.
 
         Raises:
-            LacewingdockError: UPSTREAM_FAILED when there is no verdict.
+            LacewingdockError: UPSTREAM_FAILED if the service returns none.
         """
         body = {"messages": messages, "answer": text}
         return self._call("/rate", body, _Verdict).score
 
     def submit(self, client: str, samples: list[RatingSample]) -> None:
-        """Hand samples in; handing one in again does no harm.
+        """Submit samples for a rating; submitting one again has no effect.
 
         Raises:
-            LacewingdockError: UPSTREAM_FAILED when they were not taken.
+            LacewingdockError: UPSTREAM_FAILED if they were not accepted.
         """
         body = {"client": client, "samples": samples}
         self._call("/samples", body, dict[str, Any])
 
-    def results(self, client: str, after: int) -> Results:
-        """Fetch the ratings that came since.
+    def results(self, client: str, after: int) -> RatingPage:
+        """Fetch the ratings of a client's samples after a position.
 
         Raises:
-            LacewingdockError: UPSTREAM_FAILED when there is no answer.
+            LacewingdockError: UPSTREAM_FAILED if there is no valid answer.
         """
         query = urllib.parse.urlencode({"client": client, "after": after})
-        return self._call(f"/samples?{query}", None, Results)
+        return self._call(f"/samples?{query}", None, RatingPage)
 
     def _call(self, path: str, body: Any, cls: type[T]) -> T:
         sent = None if body is None else msgspec.json.encode(body)
@@ -111,7 +113,7 @@
             if reply.status >= HTTPStatus.BAD_REQUEST:
                 raise LacewingdockError(
                     ErrorKind.UPSTREAM_FAILED,
-                    f"rating service: {reply.status}",
+                    f"rating service: status {reply.status}",
                 )
             return cast("T", decode_json(reply.body, cls))
         except (pycurl.error, msgspec.DecodeError) as error:
--- a/lacewingdock/platform/store.py
+++ b/lacewingdock/platform/store.py
@@ -1,7 +1,7 @@
-"""Support for values kept in the platform's object API.
+"""Client of JSON values that are stored in the platform's object API.
 
-A value is kept with the id of the write that made it, so that a write whose
-answer was lost can be told from another's.
+A value is stored with the id of the write that made it. After a lost answer
+the id shows whether the object holds this write or another one.
 """
 
 import secrets
@@ -23,11 +23,12 @@
 from lacewingdock.platform.objects import StoredObject
 from lacewingdock.world.objects import Instance
 
-# A connection can go silent for good while new ones work. A watcher is then
-# deaf until its wait runs out, so the wait stays well below the 19 seconds in
-# which a change must be in force.
+# Seconds that a watch waits for changes. A connection may stall forever while
+# new ones work, and its watcher receives no changes until the wait ends. The
+# wait therefore stays well below the 19 seconds in which a change must apply.
 WATCH_TIMEOUT_S: Final = 8.0
-SETTLE_TRIES: Final = 2
+# Reads made to find out whether a write without an answer took effect.
+RESOLVE_ATTEMPTS: Final = 2
 KIND_INSTANCES: Final = "instances"
 
 log = get_logger("platform")
@@ -35,13 +36,14 @@
 
 @dataclass(slots=True)
 class Stored:
-    """A value as the platform holds it.
+    """A value in the platform's store.
 
     Attributes:
-        name: Its name in the collection.
-        revision: The platform's revision, growing over all objects.
+        name: Name of the object in its collection.
+        revision: The platform's revision, which grows over all objects.
         value: Decoded JSON; None for a tombstone.
-        writer: Id of the write that made it, to settle lost answers.
+        writer: Id of the write that made the value. After a lost answer it
+            shows whether the write took effect.
     """
 
     name: str
@@ -59,23 +61,24 @@
 
 
 class ObjectStore(ObjectApi):
-    """A client of the values; safe to use from any task.
-
-    The platform counts one revision over all kinds. A collection's revision
-    is that of its last change here, so that it stands still while others
-    change; the platform's own revision, up to which nothing else changed, is
-    remembered beside it, since a watch from further back finds its history
-    dropped and has to list again.
+    """A client of values in collections; safe to use from any task.
+
+    The platform counts one revision over all kinds. Here, a collection's
+    revision is that of its own last change, so that it stays the same while
+    other collections change. The platform's revision up to which the
+    collection is unchanged is stored beside it: the history back to the
+    collection's last change may be dropped, and a watch from there would need
+    a new list.
     """
 
-    __slots__ = ("_instances", "_instances_revision", "_seen")
+    __slots__ = ("_instances", "_instances_revision", "_positions")
 
     def __init__(self, url: str) -> None:
-        """Take the platform's URL."""
+        """Set up a client of the platform at a URL; no call is made yet."""
         super().__init__(url)
         self._instances: dict[str, Instance] = {}
         self._instances_revision: int | None = None
-        self._seen: dict[str, tuple[int, int]] = {}
+        self._positions: dict[str, tuple[int, int]] = {}
 
     def get(self, collection: str, name: str, purpose: str) -> Stored:
         """Read an object; a missing one has revision `ABSENT`.
@@ -93,9 +96,10 @@
 
         Args:
             collection: The collection.
-            purpose: What the call is for, in the count of calls.
-            prefix: What the names start with.
-            after: Only what changed after this revision, tombstones too.
+            purpose: Label of the call in `calls` and `failures`.
+            prefix: Prefix of the names to return.
+            after: Return only objects that changed after this revision,
+                tombstones included.
 
         Raises:
             LacewingdockError: PLATFORM_UNAVAILABLE.
@@ -103,7 +107,7 @@
         found = self.list_kind(collection, purpose)
         entries = found.objects.values()
         head = max((entry.revision for entry in entries), default=ABSENT)
-        self._seen[collection] = (head, found.revision)
+        self._positions[collection] = (head, found.revision)
         return Listing(
             head,
             [
@@ -119,18 +123,18 @@
         """Wait for changes after a revision; tombstones have no value.
 
         Returns:
-            The changes, none when the wait ran out.
+            The changes; none if the wait ran out.
 
         Raises:
             LacewingdockError: PLATFORM_UNAVAILABLE.
         """
-        head, seen = self._seen.get(collection, (after, after))
+        head, seen = self._positions.get(collection, (after, after))
         start = seen if head == after else after
         try:
             found = self.watch_kind(collection, start, WATCH_TIMEOUT_S, purpose)
         except HistoryGoneError:
-            # Values are never removed but for tombstones, so a listing shows
-            # all that the dropped history did.
+            # A removed value leaves a tombstone, so a list shows every
+            # change of the dropped history.
             return self.list_all(collection, purpose, prefix, after)
         latest = {
             change.object.name: _stored(change.object)
@@ -139,7 +143,7 @@
         }
         changed = [change.object.revision for change in found.changes]
         head = max([after, *changed])
-        self._seen[collection] = (head, found.revision)
+        self._positions[collection] = (head, found.revision)
         return Listing(head, list(latest.values()))
 
     def put(
@@ -153,29 +157,30 @@
     ) -> Stored:
         """Write an object if its revision is the expected one.
 
-        A lost answer is settled by reading the object back: the write took
-        effect exactly if the object, or a later one's history, carries this
-        write's id. Without that a repeated write would meet its own
-        effect and be reported as a conflict; the client library repeats one
-        by itself on a new connection where the kept one was dead.
+        After a lost answer the object is read back. The write took effect if
+        the object, or the history of a later one, has this write's id. Without
+        the id, a repeated write would find the result of its first attempt and
+        be reported as a conflict; libcurl itself repeats a write on a new
+        connection if the kept one was dead.
 
         Args:
             collection: The collection.
             name: Name of the object.
-            value: What `msgspec` can encode as JSON; None for a tombstone,
-                which stays in the collection so that lists show it.
-            expect: Revision it must have; `ABSENT` for none.
-            purpose: What the call is for, in the count of calls.
-            writer: Id of this very write, never used for another; a fresh
-                one by default.
+            value: A value that `msgspec` can encode as JSON; None for a
+                tombstone, which stays in the collection so that lists show
+                it.
+            expect: Revision that the object must have; `ABSENT` if it must
+                not exist.
+            purpose: Label of the call in `calls` and `failures`.
+            writer: Id of this write, used for no other; random by default.
 
         Returns:
             The object as written.
 
         Raises:
-            LacewingdockError: CONFLICT when the revision was another;
-                PLATFORM_UNAVAILABLE with ran "unknown" when it can't be
-                settled.
+            LacewingdockError: CONFLICT if the object has another revision;
+                PLATFORM_UNAVAILABLE, with ran "unknown" if it could not be
+                determined whether the write took effect.
         """
         writer = writer or secrets.token_hex(8)
         spec = {"value": value, "writer": writer}
@@ -184,7 +189,7 @@
         except LacewingdockError as error:
             if error.ran == RAN_NO:
                 raise
-            return self._settle(collection, name, value, writer, expect)
+            return self._resolve_write(collection, name, value, writer, expect)
         if written or _stored(found).writer == writer:
             return Stored(name, found.revision, value, writer)
         raise LacewingdockError(
@@ -193,10 +198,10 @@
         )
 
     def instances(self) -> list[Instance]:
-        """Read the lagging list of instances.
+        """Read the list of instances, which may lag behind their state.
 
-        At the target the list is about a megabyte and changes twice a
-        minute; only its changes are sent again.
+        In a fleet of the target size the list is about a megabyte and changes
+        twice a minute, so only the changes are fetched after the first call.
 
         Raises:
             LacewingdockError: PLATFORM_UNAVAILABLE.
@@ -214,28 +219,44 @@
         for change in found.changes:
             self._instances.pop(change.object.name, None)
             if not change.removed:
-                self._take_instances([change.object])
+                self._add_instances([change.object])
         self._instances_revision = found.revision
         return list(self._instances.values())
 
     def _list_instances(self) -> None:
         found = self.list_kind(KIND_INSTANCES, "instances")
         self._instances = {}
-        self._take_instances(list(found.objects.values()))
+        self._add_instances(list(found.objects.values()))
         self._instances_revision = found.revision
 
-    def _take_instances(self, entries: list[StoredObject]) -> None:
+    def _add_instances(self, entries: list[StoredObject]) -> None:
         for name, instance in _instances(entries):
             self._instances[name] = instance
 
-    def _settle(
+    def _resolve_write(
         self, collection: str, name: str, value: Any, writer: str, expect: int
     ) -> Stored:
-        for attempt in range(SETTLE_TRIES):
+        """Read an object back to find out whether a write took effect.
+
+        Args:
+            collection: The collection.
+            name: Name of the object.
+            value: The value that was written.
+            writer: Id of the write.
+            expect: Revision that the write expected.
+
+        Returns:
+            The object as written, if the write took effect.
+
+        Raises:
+            LacewingdockError: CONFLICT if another write changed the object;
+                PLATFORM_UNAVAILABLE if the outcome is unknown.
+        """
+        for attempt in range(RESOLVE_ATTEMPTS):
             try:
                 found = self.get(collection, name, "settle")
             except LacewingdockError:
-                if attempt + 1 == SETTLE_TRIES:
+                if attempt + 1 == RESOLVE_ATTEMPTS:
                     break
                 continue
             if found.writer == writer:
@@ -245,19 +266,20 @@
                     ErrorKind.CONFLICT,
                     f"{collection}/{name}: revision is {found.revision}, "
                     f"not {expect}",
-                    # The write may have taken effect and been overwritten.
+                    # The write may have taken effect and been replaced.
                     RAN_UNKNOWN,
                 )
-            # Still the old object: the write may yet arrive, since an answer
-            # can be late as well as lost.
+            # The object is still the old one, but the write may yet arrive:
+            # its answer may be late rather than lost.
             break
         raise unavailable(
-            f"write of {collection}/{name} is not settled", RAN_UNKNOWN
+            f"outcome of the write of {collection}/{name} is unknown",
+            RAN_UNKNOWN,
         )
 
 
 def _stored(found: StoredObject) -> Stored:
-    """Read a value; what another program wrote counts as a tombstone."""
+    """Convert an object to a value; a foreign format is read as a tombstone."""
     spec = found.spec
     if not isinstance(spec, dict):
         return Stored(found.name, found.revision)
@@ -273,9 +295,9 @@
 def _instances(
     entries: list[StoredObject],
 ) -> Iterator[tuple[str, Instance]]:
-    """Build the instances; one odd entry must not hide all the others."""
+    """Decode instances; an invalid entry must not hide the others."""
     for entry in entries:
         try:
             yield entry.name, msgspec.convert(entry.spec, Instance)
         except msgspec.ValidationError as error:
-            log.error("faulty instance left out", error=str(error))
+            log.error("skipping invalid instance entry", error=str(error))
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of the documents that the platform keeps."""
+"""Tests of decoding the documents in the platform's store."""
 
 import copy
 
@@ -107,11 +107,11 @@
         ("non_idempotent", True, Repeat.ONCE),
         ("streaming", False, Repeat.ONCE),
         ("streaming", True, Repeat.RESUMABLE),
-        # What a later version of the platform may add runs once at most.
+        # A kind that a later version of the platform adds runs at most once.
         ("of a later version", True, Repeat.ONCE),
     ],
 )
-def test_contract(kind, resumable, repeat):
+def test_repeat_policy(kind, resumable, repeat):
     one = {**ROUTE, "kind": kind, "resumable": resumable}
     assert table(routes=[one]).routes[0].repeat is repeat
 
@@ -123,7 +123,7 @@
     )
 
 
-def test_without_workspaces_no_key_is_asked_for():
+def test_without_workspaces_no_key_is_required():
     spec = copy.deepcopy(CONFIG)
     del spec["tenants"]
     assert read_configuration(StoredObject("main", 1, spec)).callers is None
@@ -160,17 +160,17 @@
     assert (found.cold_left_s, found.created) == (left_s, 4)
 
 
-def test_what_a_cold_instance_bears():
+def test_rate_limit_of_a_cold_instance():
     services = [
         {"name": "svc", "cold_start_s": 3.0, "cold_per_s": 18.0},
         {"name": "odd", "cold_start_s": -1, "cold_per_s": -1},
         {"name": "old"},
     ]
     found = table(services=services).services
-    bears = {
+    rates = {
         name: (one.cold_start_s, one.cold_per_s) for name, one in found.items()
     }
-    assert bears == {"svc": (3.0, 18.0), "odd": (0.0, 0.0), "old": (0.0, 0.0)}
+    assert rates == {"svc": (3.0, 18.0), "odd": (0.0, 0.0), "old": (0.0, 0.0)}
 
 
 @pytest.mark.parametrize(
@@ -180,12 +180,12 @@
         ({}, ShiftState.ORDERED),
         ({"state": "running", "target": "v2"}, ShiftState.RUNNING),
         ({"state": "completed", "target": "v2"}, ShiftState.COMPLETED),
-        # What became of the order before this one.
+        # The status of an earlier order.
         ({"state": "completed", "target": "v1"}, ShiftState.ORDERED),
         ({"state": "odd", "target": "v2"}, ShiftState.ORDERED),
     ],
 )
-def test_order(status, state):
+def test_rollout_order(status, state):
     spec = {"service": "svc", "target": "v2", "duration_s": 12}
     order = read_shift(StoredObject("svc", 5, spec, status))
     assert (order.state, order.duration_s) == (state, 12.0)
@@ -199,7 +199,7 @@
     json_values
     | st.fixed_dictionaries({"version": json_values, "routes": json_values})
 )
-def test_odd_documents_are_coded_errors(spec):
+def test_invalid_documents_raise_coded_errors(spec):
     for read in (read_configuration, read_instance, read_shift):
         try:
             read(StoredObject("main", 1, spec, spec))
@@ -211,7 +211,7 @@
     ("changes", "names"),
     [
         ({}, []),
-        # Known, and left unread.
+        # Known fields that are ignored.
         ({"routes": [{**ROUTE, "sticky": True}]}, []),
         ({"services": [{"name": "svc", "tls": False}]}, []),
         ({"mood": 1}, ["configuration.mood"]),
@@ -224,11 +224,11 @@
         ({"tenants": [{"name": "w", "mood": 1}]}, ["tenant.mood"]),
     ],
 )
-def test_fields_that_nothing_reads_are_told(monkeypatch, changes, names):
-    """Guards against: a word that the platform adds goes unnoticed.
+def test_unknown_fields_are_recorded(monkeypatch, changes, names):
+    """Guards against not noticing a field that the platform adds.
 
-    Symptom: it asked for something in an object, and a rule was broken before
-    anybody knew the word.
+    A new field of an object asked for something, and a rule was broken before
+    the field was known.
     """
     found = UnknownNames("object")
     monkeypatch.setattr(documents, "unknown_fields", found)
@@ -236,7 +236,7 @@
     assert sorted(found.counts()) == names
 
 
-def test_field_of_an_entry_that_nothing_reads_is_told(monkeypatch):
+def test_unknown_field_of_an_entry_is_recorded(monkeypatch):
     found = UnknownNames("object")
     monkeypatch.setattr(documents, "unknown_fields", found)
     read_instance(StoredObject("i-1", 3, {**SERVER, "mood": 1}))
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -1,4 +1,4 @@
-"""Tests of the client of a store that comes back from an older copy."""
+"""Tests of the client of a store that is restored from an older copy."""
 
 import threading
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
@@ -20,7 +20,7 @@
 
 
 class Clock:
-    """A clock that a test sets."""
+    """A clock whose time the test sets."""
 
     time = 10.0
 
@@ -29,15 +29,15 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Answers what the server was told to, in turn."""
+    """Returns the server's prepared answers, one for each request."""
 
     protocol_version = "HTTP/1.1"
     wbufsize = -1
 
     def do_GET(self):
-        """Answer."""
+        """Record the request and return the next answer."""
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
-        self.server.asked.append((self.command, self.path))
+        self.server.requests.append((self.command, self.path))
         status, eras, value = self.server.answers.pop(0)
         body = msgspec.json.encode(value)
         self.send_response(status)
@@ -48,25 +48,25 @@
         self.wfile.write(body)
 
     def do_POST(self):
-        """Answer."""
+        """Handle as a GET."""
         self.do_GET()
 
     def do_PUT(self):
-        """Answer."""
+        """Handle as a GET."""
         self.do_GET()
 
     def do_DELETE(self):
-        """Answer."""
+        """Handle as a GET."""
         self.do_GET()
 
     def log_message(self, *_):
-        """Say nothing."""
+        """Suppress the access log."""
 
 
 @pytest.fixture
 def server():
     found = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
-    found.answers, found.asked = [], []
+    found.answers, found.requests = [], []
     threading.Thread(target=found.serve_forever, daemon=True).start()
     yield found
     found.shutdown()
@@ -79,13 +79,13 @@
 
 
 def page(revision, *names):
-    """Return a list's answer."""
+    """Return the answer to a list, with objects of the given names."""
     items = [{"metadata": {"name": one, "revision": revision}} for one in names]
     return {"items": items, "current_rev": revision}
 
 
 def stored(revision):
-    """Return an object as an answer has it."""
+    """Return an object at a revision, as in the store's answers."""
     return {"metadata": {"name": "a", "revision": revision}, "spec": {}}
 
 
@@ -102,7 +102,7 @@
     assert format_revision(found) == (text or f"{era}.{count}")
 
 
-def test_later_era_is_beyond_all_of_an_earlier_one():
+def test_later_era_is_greater_than_all_of_an_earlier_one():
     assert revision_of(2, 1) > revision_of(1, MAX_COUNT)
     assert revision_of(1, 2) > revision_of(1, 1)
 
@@ -125,12 +125,15 @@
         (["9" * 5000], None),
     ],
 )
-def test_era_that_an_answer_names(values, era):
+def test_read_era(values, era):
     assert read_era(values) == era
 
 
-def test_answer_without_a_readable_era_counts_as_of_the_known_one():
-    """Symptom: a router is deaf since an answer bore an odd header, or none."""
+def test_answer_without_a_readable_era_counts_as_of_the_current_one():
+    """Guards against rejecting the store's answers after a bad era header.
+
+    Cause: an answer without a readable era changed the current era.
+    """
     eras = StoreEras(Clock())
     assert eras.observe([], 0) == 0
     assert eras.unreadable == 0
@@ -140,26 +143,27 @@
     assert (eras.unreadable, eras.restores) == (4, 0)
 
 
-def test_late_answer_of_an_earlier_era_says_nothing():
-    """Symptom: what was lost comes back into force with a late answer."""
+def test_late_answer_of_an_earlier_era_is_rejected():
+    """Guards against applying lost state from an answer before a restore."""
     clock = Clock()
-    eras, told = StoreEras(clock), []
-    eras.on_restore.append(lambda: told.append(eras.era))
+    eras, notified = StoreEras(clock), []
+    eras.on_restore.append(lambda: notified.append(eras.era))
     eras.observe(["4"], 0)
     clock.time = 20.0
     assert eras.observe(["5"], 19.0) == 5
     with pytest.raises(EarlierEraError):
         eras.observe(["4"], 19.9)
-    # A read that may be behind says nothing, whenever it began.
+    # A read that may be stale is rejected, whenever it began.
     with pytest.raises(EarlierEraError):
         eras.observe(["4"], 21.0, stale=True)
-    assert (eras.era, eras.stale_answers, told) == (5, 2, [5])
+    assert (eras.era, eras.stale_answers, notified) == (5, 2, [5])
 
 
-def test_era_that_the_store_never_had_lasts_until_its_next_answer():
-    """Symptom: one wrong header makes a router deaf for good.
+def test_wrong_era_lasts_until_the_next_answer():
+    """Guards against rejecting all answers after one header with a wrong era.
 
-    Cause: only a higher era was believed, and the wrong one was never reached.
+    Cause: only higher eras were accepted, and the store never reached the wrong
+    one.
     """
     clock = Clock()
     eras = StoreEras(clock)
@@ -169,31 +173,31 @@
     assert eras.observe(["4"], 10.5) == 4
 
 
-def test_watch_from_an_earlier_era_is_not_asked_for(server, api):
-    """Symptom: a change after the store's return is never heard of.
+def test_watch_from_an_earlier_era_is_not_sent(server, api):
+    """Guards against missing a change that follows a restore of the store.
 
-    Cause: the count that the watch goes on from was given out again, and the
-    change came before it.
+    Cause: the restored store reused the count from which the watch continued,
+    and the change was made before it reached that count.
     """
     server.answers = [(200, ["1"], page(24, "a")), (200, ["2"], page(21, "a"))]
     revision = api.list_kind("servers", "test").revision
     api.list_kind("config", "test")
     with pytest.raises(HistoryGoneError):
         api.watch_kind("servers", revision, 0.0, "test")
-    assert len(server.asked) == 2
+    assert len(server.requests) == 2
 
 
 @pytest.mark.parametrize("status", [200, 410])
-def test_watch_that_is_answered_in_another_era_is_a_gap(server, api, status):
+def test_watch_answered_in_another_era_raises_history_gone(server, api, status):
     events = {"events": [], "current_rev": 30}
     server.answers = [(200, ["1"], page(24)), (status, ["2"], events)]
     revision = api.list_kind("servers", "test").revision
     with pytest.raises(HistoryGoneError):
         api.watch_kind("servers", revision, 0.0, "test")
-    assert server.asked[1][1] == "/objects/servers?watch=24&wait_ms=0"
+    assert server.requests[1][1] == "/objects/servers?watch=24&wait_ms=0"
 
 
-def test_list_whose_pages_are_of_two_eras_is_none(server, api):
+def test_list_with_pages_of_two_eras_raises(server, api):
     first = page(24, "a") | {"has_more": True}
     server.answers = [(200, ["1"], first), (200, ["2"], page(21, "b"))]
     with pytest.raises(LacewingdockError, match="between two pages"):
@@ -208,20 +212,20 @@
 
 @pytest.mark.parametrize("write", WRITES)
 def test_write_that_expects_a_lost_state_is_not_sent(server, api, write):
-    """Symptom: a write goes over a state that its writer never saw.
+    """Guards against a write that replaces a state its writer never saw.
 
-    Cause: the count that it expected was given out again for that state.
+    Cause: the restored store reused the expected count for that state.
     """
     server.answers = [
         (200, ["1"], stored(24)),
         (200, ["2"], page(24)),
         (200, ["2"], stored(24)),
     ]
-    known = api.read("k", "a", "test")
+    current = api.read("k", "a", "test")
     api.list_kind("k", "test")
-    written, found = WRITES[write](api, known.revision)
+    written, found = WRITES[write](api, current.revision)
     assert (written, format_revision(found.revision)) == (False, "2.24")
-    assert [method for method, _ in server.asked] == ["GET"] * 3
+    assert [method for method, _ in server.requests] == ["GET"] * 3
 
 
 def test_removal_that_expects_a_lost_state_is_not_sent(server, api):
@@ -230,25 +234,25 @@
         (200, ["2"], page(24)),
         (200, ["2"], stored(24)),
     ]
-    known = api.read("k", "a", "test")
+    current = api.read("k", "a", "test")
     api.list_kind("k", "test")
-    assert not api.remove("k", "a", known.revision, "test")
-    assert [method for method, _ in server.asked] == ["GET"] * 3
+    assert not api.remove("k", "a", current.revision, "test")
+    assert [method for method, _ in server.requests] == ["GET"] * 3
 
 
 @pytest.mark.parametrize("write", WRITES)
-def test_write_that_the_return_overtakes_is_not_settled(server, api, write):
-    """Symptom: a write that met another state than expected counts as good."""
+def test_write_overtaken_by_a_restore_has_unknown_outcome(server, api, write):
+    """Guards against reporting success for a write over an unexpected state."""
     server.answers = [(200, ["1"], stored(24)), (200, ["2"], stored(25))]
-    known = api.read("k", "a", "test")
+    current = api.read("k", "a", "test")
     with pytest.raises(LacewingdockError) as caught:
-        WRITES[write](api, known.revision)
+        WRITES[write](api, current.revision)
     assert caught.value.ran == "unknown"
-    assert server.asked[1][0] == "PUT"
+    assert server.requests[1][0] == "PUT"
 
 
-def test_refusal_that_the_return_overtakes_shows_what_is_there(server, api):
+def test_conflict_overtaken_by_a_restore_returns_current_object(server, api):
     server.answers = [(200, ["1"], stored(24)), (409, ["2"], stored(22))]
-    known = api.read("k", "a", "test")
-    written, found = api.write("k", "a", {}, known.revision, "test")
+    current = api.read("k", "a", "test")
+    written, found = api.write("k", "a", {}, current.revision, "test")
     assert (written, format_revision(found.revision)) == (False, "2.22")
--- a/tests/platform/test_profile.py
+++ b/tests/platform/test_profile.py
@@ -1,4 +1,4 @@
-"""Tests of the settings file that the platform writes."""
+"""Tests of reading the settings file that the platform writes."""
 
 import copy
 
@@ -26,20 +26,20 @@
 
 
 def changed(path, value):
-    """Return the file with one value changed, or taken out."""
+    """Return the settings with one value changed, or removed if `GONE`."""
     found = copy.deepcopy(FILE)
-    place = found
+    table = found
     *keys, last = path.split(".")
     for key in keys:
-        place = place[key]
+        table = table[key]
     if value is GONE:
-        del place[last]
+        del table[last]
     else:
-        place[last] = value
+        table[last] = value
     return found
 
 
-def test_values_have_the_products_units():
+def test_values_are_converted_to_internal_units():
     host = read_profile(FILE, "boot.toml")
     assert host.callers_address == ("10.1.0.4", 8227)
     assert host.peer_address == ("10.1.0.4", 8229)
@@ -48,13 +48,13 @@
     assert host.platform_writes_per_s == 400.0
 
 
-def test_without_a_control_address_a_port_of_the_range_is_taken():
+def test_peer_address_defaults_to_first_port_of_range():
     host = read_profile(changed("listen.control", GONE), "boot.toml")
     assert host.peer_address == ("10.1.0.4", 7340)
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "said"),
+    ("path", "value", "expected"),
     [
         ("node_name", GONE, "node_name"),
         ("node_name", "", "node_name"),
@@ -69,11 +69,11 @@
         ("seeds", ["x"], "seeds"),
     ],
 )
-def test_fault_names_key_and_value(path, value, said):
+def test_fault_names_key_and_value(path, value, expected):
     with pytest.raises(LacewingdockError) as caught:
         read_profile(changed(path, value), "boot.toml")
     assert caught.value.kind is ErrorKind.BAD_SETTING
-    assert said in caught.value.detail
+    assert expected in caught.value.detail
 
 
 @pytest.mark.parametrize("text", [None, "= no toml", "\x00"])
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Tests for the client of the platform's object API."""
+"""Tests of the client of values in the platform's object API."""
 
 import contextlib
 import threading
@@ -15,16 +15,16 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Answers what the server was told to, in turn; the last one for good."""
+    """Returns the server's prepared answers in turn, and repeats the last."""
 
     protocol_version = "HTTP/1.1"
     wbufsize = -1
 
     def do_GET(self):
-        """Answer."""
+        """Record the request and return the next answer."""
         server = self.server
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
-        server.asked.append((self.command, self.path))
+        server.requests.append((self.command, self.path))
         status, body = server.answers[0]
         if len(server.answers) > 1:
             server.answers.pop(0)
@@ -35,15 +35,15 @@
             self.wfile.write(body)
 
     def do_POST(self):
-        """Answer."""
+        """Handle as a GET."""
         self.do_GET()
 
     def do_PUT(self):
-        """Answer."""
+        """Handle as a GET."""
         self.do_GET()
 
     def log_message(self, *_):
-        """Say nothing."""
+        """Suppress the access log."""
 
 
 @pytest.fixture(scope="module")
@@ -58,12 +58,12 @@
 
 def store_of(server, *answers):
     server.answers = list(answers)
-    server.asked = []
+    server.requests = []
     return ObjectStore(f"http://127.0.0.1:{server.server_address[1]}")
 
 
-def shown(revision, writer):
-    """Return an object as the platform shows it."""
+def encoded_value(revision, writer):
+    """Return an encoded value at a revision, as in the platform's answers."""
     metadata = {"name": "a", "revision": revision}
     spec = {"value": 1, "writer": writer}
     return msgspec.json.encode({"metadata": metadata, "spec": spec})
@@ -102,10 +102,10 @@
     ),
 )
 def test_any_answer_gives_a_value_or_a_coded_error(server, call, status, body):
-    """Symptom: a daemon never again hears of a change, and logs nothing more.
+    """Guards against a daemon that stops receiving changes and logs nothing.
 
-    A balancer before the platform answers 429 or a page of its own. Cause:
-    the error was none of the coded ones, so the task that reads the
+    A load balancer before the platform answered 429 or a page of its own.
+    Cause: the error was not a coded one, so the task that reads the
     configuration ended.
     """
     store = store_of(server, (status, body))
@@ -117,13 +117,17 @@
     ("answers", "kind", "ran"),
     [
         ([(429, b"")], ErrorKind.PLATFORM_UNAVAILABLE, "no"),
-        # The platform says with this status that nothing was done.
+        # With this status the platform reports that it did nothing.
         ([(503, b"")], ErrorKind.PLATFORM_UNAVAILABLE, "no"),
-        ([(409, shown(4, "x"))], ErrorKind.CONFLICT, "no"),
+        ([(409, encoded_value(4, "x"))], ErrorKind.CONFLICT, "no"),
         # The answer is lost; the object is still the old one.
         ([(500, b""), (404, b"{}")], ErrorKind.PLATFORM_UNAVAILABLE, "unknown"),
-        # The answer is lost; somebody wrote after, perhaps over this write.
-        ([(500, b""), (200, shown(9, "x"))], ErrorKind.CONFLICT, "unknown"),
+        # The answer is lost; another write followed, perhaps over this one.
+        (
+            [(500, b""), (200, encoded_value(9, "x"))],
+            ErrorKind.CONFLICT,
+            "unknown",
+        ),
         (
             [(200, b"<html>"), (503, b"")],
             ErrorKind.PLATFORM_UNAVAILABLE,
@@ -131,7 +135,9 @@
         ),
     ],
 )
-def test_write_says_whether_it_took_effect(server, answers, kind, ran):
+def test_failed_write_reports_whether_it_took_effect(
+    server, answers, kind, ran
+):
     store = store_of(server, *answers)
     with pytest.raises(LacewingdockError) as caught:
         store.put("config", "a", {}, 0, "test")
@@ -139,17 +145,18 @@
 
 
 def test_repeated_write_that_took_effect_is_no_conflict(server):
-    """Symptom: a daemon that wrote a lease takes itself for the loser.
+    """Guards against a conflict of a write with its own first attempt.
 
-    The kept connection dies after the platform took the write; the client
-    library sends it again on a new one and meets the first one's effect.
-    Cause: any conflict was reported, whoever had written.
+    A daemon that had acquired a lease concluded that another holder had it. The
+    kept connection dies after the platform applied the write, and the HTTP
+    library repeats the write on a new one. Cause: a conflict was reported
+    without comparing the writers.
     """
-    store = store_of(server, (409, shown(9, "me")))
+    store = store_of(server, (409, encoded_value(9, "me")))
     assert store.put("config", "a", 1, 0, "test", writer="me").revision == 9
 
 
-def test_only_changes_of_the_instance_list_are_sent_again(server):
+def test_only_changes_of_the_instance_list_are_fetched_again(server):
     entry = {"name": "e", "role": "entry", "failure_domain": "d"}
     spec = {**entry, "address": "127.0.0.1:1"}
     item = {"metadata": {"name": "e", "revision": 7}, "spec": spec}
@@ -157,14 +164,14 @@
     none = msgspec.json.encode({"events": [], "current_rev": 9})
     store = store_of(server, (200, page), (200, none))
     assert store.instances() == store.instances() != []
-    assert server.asked[1] == ("GET", "/objects/instances?watch=8&wait_ms=0")
+    assert server.requests[1] == ("GET", "/objects/instances?watch=8&wait_ms=0")
 
 
-def test_watch_goes_on_from_the_revision_seen_last(server):
-    """Symptom: a quiet collection is listed whole every few seconds.
+def test_watch_continues_from_the_last_platform_revision(server):
+    """Guards against listing an unchanged collection every few seconds.
 
-    Other kinds change; the revision that a collection's last change had
-    falls out of the history. Cause: the watch started from there again.
+    While other kinds change, the revision of the collection's last change
+    drops out of the history. Cause: each watch started from that revision.
     """
     page = msgspec.json.encode({"items": [], "current_rev": 50})
     none = msgspec.json.encode({"events": [], "current_rev": 90})
@@ -172,14 +179,14 @@
     head = store.list_all("config", "test").revision
     head = store.watch("config", head, "test").revision
     store.watch("config", head, "test")
-    paths = [path for _, path in server.asked]
+    paths = [path for _, path in server.requests]
     assert [path.partition("watch=")[2][:2] for path in paths[1:]] == [
         "50",
         "90",
     ]
 
 
-def test_dropped_history_is_listed(server):
+def test_dropped_history_is_replaced_by_a_list(server):
     item = {"metadata": {"name": "a", "revision": 60}, "spec": {"value": 1}}
     page = msgspec.json.encode({"items": [item], "current_rev": 70})
     store = store_of(server, (410, b"{}"), (200, page))
@@ -201,10 +208,10 @@
     store = store_of(server, *((200, page) for page in pages))
     found = store.list_kind("config", "test")
     assert (found.revision, sorted(found.objects)) == (5, ["a", "b"])
-    assert server.asked[1] == ("GET", "/objects/config?since_rev=a")
+    assert server.requests[1] == ("GET", "/objects/config?since_rev=a")
 
 
-def test_budget_refuses_a_loop_without_a_pause():
+def test_budget_refuses_calls_in_a_tight_loop():
     budget = CallBudget(rate=1e-9, burst=3)
     for _ in range(3):
         budget.take()
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of decoding what upstreams answer."""
+"""Tests of decoding the heads of upstreams' answers."""
 
 import pytest
 
@@ -6,19 +6,19 @@
 
 
 def head(*headers, status=200):
-    """Return the decoded head of an answer with some headers."""
+    """Return the decoded head of an answer with the given headers."""
     return read_answer(status, list(headers), list(headers))
 
 
 @pytest.mark.parametrize(
-    ("values", "per_s", "unread"),
+    ("values", "per_s", "invalid"),
     [
         ([], None, False),
         ([b"3"], 3.0, False),
         ([b" 0.5 "], 0.5, False),
         ([b"0"], 0.0, False),
         ([b"12.25"], 12.25, False),
-        # Odd values name no limit, and end none.
+        # Invalid values set no limit and clear none.
         ([b""], None, True),
         ([b"-1"], None, True),
         ([b"nan"], None, True),
@@ -33,9 +33,9 @@
         ([b"3", b"x"], None, True),
     ],
 )
-def test_limit_of_an_instance(values, per_s, unread):
+def test_limit_of_an_instance(values, per_s, invalid):
     found = head(*((b"server-limit", value) for value in values))
-    assert (found.limit_per_s, found.limit_unread) == (per_s, unread)
+    assert (found.limit_per_s, found.limit_unread) == (per_s, invalid)
 
 
 @pytest.mark.parametrize(
@@ -46,10 +46,10 @@
         (503, [b" 0.25 "], 0.25, False),
         (503, [b"0"], 0.0, False),
         (429, [b"2"], 2.0, False),
-        # Elsewhere it is for the caller.
+        # With other statuses the header is meant for the caller.
         (200, [b"3"], None, False),
         (500, [b"x"], None, False),
-        # Odd values ask for no rest.
+        # Invalid values set no rest.
         (503, [b""], None, True),
         (503, [b"-3"], None, True),
         (503, [b"1e308"], None, True),
@@ -77,15 +77,15 @@
     ],
 )
 @pytest.mark.parametrize("status", [200, 421, 500, 503])
-def test_instance_that_says_that_it_leaves(status, values, leaving, odd):
+def test_instance_that_announces_that_it_leaves(status, values, leaving, odd):
     found = head(*((b"server-leaving", one) for one in values), status=status)
     assert (found.leaving, "server-leaving" in found.odd) == (leaving, odd)
 
 
-def test_headers_that_no_page_explains_are_told_by_name():
-    """Symptom: an instance asks for something, and nobody notices.
+def test_unknown_headers_are_reported_by_name():
+    """Guards against not noticing a new header of an upstream.
 
-    Cause: an unknown header was passed on to the caller and left no trace.
+    Cause: unknown headers were forwarded to the caller and not recorded.
     """
     found = head(
         (b"attempt-id", b"c"),
@@ -96,6 +96,6 @@
         (b"server-limit", b"3"),
     )
     assert found.unknown == ("server-mood",)
-    # The caller gets all that does not concern the connection alone.
+    # All headers but the hop-by-hop ones are forwarded to the caller.
     assert (b"server-mood", b"poor") in found.headers
     assert (b"connection", b"close") not in found.headers
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -1,7 +1,8 @@
-"""Tests that each word of upstreams' answers has somebody who acts on it.
+"""Tests that some code acts on each documented header of upstreams' answers.
 
-Words that were decoded or passed on, and that nobody acted on, have each cost a
-broken promise; no day that is played brings a word that nobody listed.
+Headers that were decoded or forwarded but not acted on have led to broken
+guarantees each time, and simulated days contain only headers that are listed
+already.
 """
 
 import dataclasses
@@ -22,9 +23,9 @@
     for line in ANSWERS.splitlines()
     if line.startswith("| ") and "---" not in line
 ][1:]
-# What makes up every answer, and asks for nothing.
-PLAIN = {"cache-control", "content-length", "content-type", "date", "server"}
-KNOWN = {name.decode() for name in wire._KNOWN_OF_ANSWER}
+# Ordinary headers of any answer, which ask for no action.
+ORDINARY = {"cache-control", "content-length", "content-type", "date", "server"}
+KNOWN = {name.decode() for name in wire._KNOWN_ANSWER_HEADERS}
 FIELDS = [one.name for one in dataclasses.fields(AnswerHead)]
 READERS = "\n".join(
     path.read_text()
@@ -33,9 +34,9 @@
 )
 
 
-@pytest.mark.parametrize("name", sorted(KNOWN - PLAIN))
-def test_each_header_that_counts_as_known_has_a_row(name):
-    """Guards against: a header that is listed as known, and never weighed."""
+@pytest.mark.parametrize("name", sorted(KNOWN - ORDINARY))
+def test_each_known_header_has_a_row(name):
+    """Guards against a known header that the documentation leaves out."""
     assert any(
         name in words.lower().replace("event ids", "last-event-id")
         for words, *_ in ROWS
@@ -43,14 +44,14 @@
 
 
 @pytest.mark.parametrize("field", FIELDS)
-def test_each_field_that_is_decoded_has_a_reader(field):
-    """Guards against: a word that is decoded and acted on by nobody."""
+def test_each_decoded_field_has_a_reader(field):
+    """Guards against a field that is decoded but never read."""
     assert re.search(rf"\bhead\.{field}\b", READERS)
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row[0])
-def test_each_row_says_who_acts_or_why_nobody_does(row):
-    """Guards against: a row whose reader is gone, or was never there."""
+def test_each_row_names_a_reader_or_a_reason(row):
+    """Guards against a row that names a module that does not exist."""
     _, _, acts = row
     paths = re.findall(r"`([\w/]+(?:/|\.py))`", acts)
     for path in paths:
@@ -59,6 +60,6 @@
             for base in (PACKAGE, PACKAGE / "components", PACKAGE / "platform")
         ), path
     assert paths or "left unread: " in acts or "it ran" in acts
-    # What is left unread has no field of its own.
+    # A header that is left unread must not have a field.
     if "left unread" in acts:
         assert not re.search(r"wire\.\w+` \(", row[1])
