--- a/lacewingdock/components/cascades/coordinator.py
+++ b/lacewingdock/components/cascades/coordinator.py
@@ -24,7 +24,7 @@
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.ids import new_id
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.platform.ratings import Ratings, RatingSample
+from lacewingdock.platform.ratings import RatingSample, RatingService
 from lacewingdock.world.objects import Step, Workspace
 from lacewingdock.world.world import World
 
@@ -118,7 +118,7 @@
         "wants",
     )
 
-    def __init__(self, daemon: Daemon, ratings: Ratings | None) -> None:
+    def __init__(self, daemon: Daemon, ratings: RatingService | None) -> None:
         """Start without experience."""
         self.daemon = daemon
         self.ratings = ratings
@@ -258,7 +258,7 @@
                     known.given,
                 )
 
-    def _judge_late(self, ratings: Ratings) -> None:
+    def _judge_late(self, ratings: RatingService) -> None:
         """Get verdicts on sampled answers that were streamed without one."""
         while self.unjudged:
             route, seen = self.unjudged[0]
@@ -296,7 +296,7 @@
     return f"size-{(size.bit_length() + 1) // 2}"
 
 
-def setup(daemon: Daemon, ratings: Ratings | None) -> Cascades:
+def setup(daemon: Daemon, ratings: RatingService | None) -> Cascades:
     """Set the cascades up."""
     cascades = Cascades(daemon, ratings)
     daemon.add(NAME, cascades)
--- a/lacewingdock/components/metrics/entry.py
+++ b/lacewingdock/components/metrics/entry.py
@@ -31,7 +31,7 @@
 from lacewingdock.const import HEADER_REQUEST_ID, HEADER_VERSION
 from lacewingdock.core import Daemon
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.platform.ratings import Ratings
+from lacewingdock.platform.ratings import RatingService
 from lacewingdock.settings import EntrySettings
 
 CHAT_PATH: Final = "/v1/chat/completions"
@@ -287,7 +287,7 @@
     settings: EntrySettings,
     peers: Peers,
     answers: Answers,
-    ratings: Ratings | None,
+    ratings: RatingService | None,
 ) -> EntryMetrics:
     """Set the entry's metrics up."""
     setup_shared(daemon, peers)
--- a/lacewingdock/components/metrics/quality.py
+++ b/lacewingdock/components/metrics/quality.py
@@ -9,7 +9,7 @@
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.json import decode_json
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.platform.ratings import Ratings
+from lacewingdock.platform.ratings import RatingService
 
 log = get_logger("quality")
 
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        ratings: Ratings,
+        ratings: RatingService,
         share: float,
         good_rating: float,
         source: random.Random,
--- a/lacewingdock/daemons/entry.py
+++ b/lacewingdock/daemons/entry.py
@@ -30,7 +30,7 @@
 from lacewingdock.core import Daemon
 from lacewingdock.links.keys import load_keys
 from lacewingdock.links.messages import Beat
-from lacewingdock.platform.ratings import Ratings
+from lacewingdock.platform.ratings import RatingService
 from lacewingdock.settings import EntrySettings
 
 
@@ -67,7 +67,7 @@
         daemon, config, open_answers, lambda: max(members.entries, 1)
     )
     relay = Relay(open_answers, members, suspects, daemon.random)
-    ratings = Ratings(settings.ratings) if settings.ratings else None
+    ratings = RatingService(settings.ratings) if settings.ratings else None
     learning = cascades.setup(daemon, ratings)
     learning.wants = seen.wants
     learning.on_rating.append(seen.add_rating)
--- a/lacewingdock/platform/object_api.py
+++ b/lacewingdock/platform/object_api.py
@@ -153,7 +153,9 @@
             if found is None:
                 found = Snapshot(revision_of(reply.era, page.current_rev))
             elif era_of(found.revision) != reply.era:
-                raise unavailable("store restored between two pages", RAN_NO)
+                raise unavailable_error(
+                    "store restored between two pages", RAN_NO
+                )
             items = decode_objects(page.items, reply.era)
             found.objects |= {item.name: item for item in items}
             if not page.has_more or not items:
@@ -333,7 +335,7 @@
         if written and expect and reply.era != era_of(expect):
             # The store was restored before the write arrived, so the write
             # may have replaced another state than the expected one.
-            raise unavailable(
+            raise unavailable_error(
                 f"{method} {path}: expected {format_revision(expect)},"
                 f" written at {format_revision(found.revision)}",
                 RAN_UNKNOWN,
@@ -397,7 +399,7 @@
         except pycurl.error as error:
             self._drop_handle()
             self._count_failure(purpose)
-            raise unavailable(f"{method} {path}: {error}", ran) from error
+            raise unavailable_error(f"{method} {path}: {error}", ran) from error
         status = int(curl.getinfo(pycurl.RESPONSE_CODE))
         if status == HTTPStatus.OK or status in accepted:
             try:
@@ -409,7 +411,7 @@
         self._count_failure(purpose)
         if status in _NOT_APPLIED:
             ran = RAN_NO
-        raise unavailable(f"{method} {path}: status {status}", ran)
+        raise unavailable_error(f"{method} {path}: status {status}", ran)
 
     def _count_failure(self, purpose: str) -> None:
         self.failures[purpose] = self.failures.get(purpose, 0) + 1
@@ -444,7 +446,7 @@
                 curl.close()
 
 
-def unavailable(detail: str, ran: str) -> LacewingdockError:
+def unavailable_error(detail: str, ran: str) -> LacewingdockError:
     """Return the PLATFORM_UNAVAILABLE error of a call.
 
     Args:
@@ -473,6 +475,6 @@
     try:
         return cast("T", decode_json(reply.body, cls))
     except msgspec.DecodeError as error:
-        raise unavailable(
+        raise unavailable_error(
             f"could not decode the answer: {error}", ran
         ) from error
--- a/lacewingdock/platform/ratings.py
+++ b/lacewingdock/platform/ratings.py
@@ -61,7 +61,7 @@
     score: Score
 
 
-class Ratings:
+class RatingService:
     """A client of the rating service.
 
     Attributes:
--- a/lacewingdock/platform/store.py
+++ b/lacewingdock/platform/store.py
@@ -18,7 +18,7 @@
     ABSENT,
     HistoryGoneError,
     ObjectApi,
-    unavailable,
+    unavailable_error,
 )
 from lacewingdock.platform.objects import StoredObject
 from lacewingdock.world.objects import Instance
@@ -272,7 +272,7 @@
             # The object is still the old one, but the write may yet arrive:
             # its answer may be late rather than lost.
             break
-        raise unavailable(
+        raise unavailable_error(
             f"outcome of the write of {collection}/{name} is unknown",
             RAN_UNKNOWN,
         )
--- a/tests/components/cascades/test_coordinator.py
+++ b/tests/components/cascades/test_coordinator.py
@@ -12,7 +12,7 @@
     class_of,
 )
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
-from lacewingdock.platform.ratings import Result, Results
+from lacewingdock.platform.ratings import RatingPage, SampleRating
 from lacewingdock.world.objects import Step, Version, Workspace
 from lacewingdock.world.world import World
 
@@ -42,7 +42,9 @@
         """Rate every sample good."""
         self._check()
         rest = self.handed[after:]
-        return Results(len(self.handed), [Result(s.id, 1.0) for s in rest])
+        return RatingPage(
+            len(self.handed), [SampleRating(s.id, 1.0) for s in rest]
+        )
 
     def _check(self):
         if not self.up:
--- a/tests/components/mirror/simulated_store.py
+++ b/tests/components/mirror/simulated_store.py
@@ -14,7 +14,7 @@
 from lacewingdock.platform.object_api import (
     CALL_TIMEOUT_S,
     HistoryGoneError,
-    unavailable,
+    unavailable_error,
 )
 from lacewingdock.platform.objects import (
     ObjectChange,
@@ -254,7 +254,7 @@
     def _fail(self, kind, after_s):
         self._opened.pop(kind, None)
         self.time.sleep(after_s)
-        raise unavailable("no answer", RAN_NO)
+        raise unavailable_error("no answer", RAN_NO)
 
 
 @dataclass
--- a/tests/components/mirror/test_mirror.py
+++ b/tests/components/mirror/test_mirror.py
@@ -14,7 +14,7 @@
 from lacewingdock.components.upstreams.sync import InstanceListener
 from lacewingdock.const import RAN_NO
 from lacewingdock.platform.eras import StoreEras
-from lacewingdock.platform.object_api import HistoryGoneError, unavailable
+from lacewingdock.platform.object_api import HistoryGoneError, unavailable_error
 from lacewingdock.platform.objects import (
     ObjectChange,
     ObjectChanges,
@@ -22,7 +22,7 @@
     StoredObject,
 )
 
-AWAY = unavailable("down", RAN_NO)
+AWAY = unavailable_error("down", RAN_NO)
 # A watch that fails, and the call that follows it without waiting.
 OUTAGE = (AWAY, AWAY)
 SETTLE_S = 0.4
--- a/tests/components/shifts/fakes.py
+++ b/tests/components/shifts/fakes.py
@@ -6,7 +6,7 @@
 from lacewingdock.components.shifts.report import Report, Stage
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.const import RAN_UNKNOWN
-from lacewingdock.platform.object_api import ObjectApi, unavailable
+from lacewingdock.platform.object_api import ObjectApi, unavailable_error
 from lacewingdock.platform.objects import StoredObject
 from lacewingdock.world.backend import UpstreamEntry
 from lacewingdock.world.call import Call
@@ -31,7 +31,7 @@
     def write(self, _kind, name, spec, expect, _purpose):
         """Write a report if its stored revision is the expected one."""
         if self.down:
-            raise unavailable("down", RAN_UNKNOWN)
+            raise unavailable_error("down", RAN_UNKNOWN)
         known = self.reports.get(name)
         if (known.revision if known else 0) != expect:
             return False, known
@@ -44,7 +44,7 @@
     def write_status(self, _kind, _name, status, expect, _purpose):
         """Write the order's status if its revision is the expected one."""
         if self.down:
-            raise unavailable("down", RAN_UNKNOWN)
+            raise unavailable_error("down", RAN_UNKNOWN)
         if self.order.revision != expect:
             return False, self.order
         self.revision += 1
