--- a/lacewingdock/platform/budget.py
+++ b/lacewingdock/platform/budget.py
@@ -29,7 +29,7 @@
         refused: Number of calls refused.
     """
 
-    __slots__ = ("_at", "_lock", "burst", "left", "rate", "refused")
+    __slots__ = ("_lock", "_refilled_at", "burst", "left", "rate", "refused")
 
     def __init__(self, rate: float = CALLS_PER_S, burst: float = BURST) -> None:
         """Start with a full bucket of the given rate and size."""
@@ -37,7 +37,7 @@
         self.burst = burst
         self.left = burst
         self.refused = 0
-        self._at = time.monotonic()
+        self._refilled_at = time.monotonic()
         self._lock = threading.Lock()
 
     def take(self) -> None:
@@ -49,9 +49,9 @@
         """
         with self._lock:
             now = time.monotonic()
-            refilled = self.left + (now - self._at) * self.rate
+            refilled = self.left + (now - self._refilled_at) * self.rate
             self.left = min(self.burst, refilled)
-            self._at = now
+            self._refilled_at = now
             if self.left < 1.0:
                 self.refused += 1
                 raise LacewingdockError(
--- a/lacewingdock/platform/documents.py
+++ b/lacewingdock/platform/documents.py
@@ -1,7 +1,6 @@
 """Decoding of the documents in the platform's store.
 
-Only this module knows the platform's names and units. Other modules use the
-decoded types of `world`.
+Other modules use the decoded types of `world` instead of the documents.
 """
 
 import socket
@@ -33,7 +32,7 @@
 KIND_CORDONS: Final = "evacuations"
 CONFIGURATION_NAME: Final = "main"
 
-# Highest TCP port number.
+# Highest port number.
 MAX_PORT: Final = 65535
 # Longest time, in seconds, for which an entry may declare its instance cold and
 # so keep it from its full load.
@@ -180,7 +179,7 @@
     Raises:
         LacewingdockError: BAD_MANIFEST, naming the invalid field.
     """
-    found = _convert(stored, _Configuration)
+    found = _decode_spec(stored, _Configuration)
     _record_unknown_in_parts(stored)
     callers = None
     if found.tenants is not None:
@@ -192,7 +191,7 @@
     limits = found.limits or _Limits()
     return RoutingTable(
         found.version,
-        [_route(route) for route in found.routes],
+        [_to_route(route) for route in found.routes],
         callers,
         CallerLimits(
             header_bytes=limits.max_header_bytes,
@@ -200,7 +199,10 @@
             read_s=limits.header_timeout_ms / 1000,
             idle_s=limits.idle_timeout_ms / 1000,
         ),
-        {service.name: _service(service) for service in found.services},
+        {
+            service.name: _to_service_limits(service)
+            for service in found.services
+        },
     )
 
 
@@ -214,7 +216,7 @@
     Raises:
         LacewingdockError: BAD_MANIFEST, naming the invalid field.
     """
-    found = _convert(stored, _Server, strict=True)
+    found = _decode_spec(stored, _Server, strict=True)
     host, port = _parse_address(stored, found.address)
     return UpstreamEntry(
         id=stored.name,
@@ -252,7 +254,7 @@
     Raises:
         LacewingdockError: BAD_MANIFEST, naming the invalid field.
     """
-    found = _convert(stored, _Rollout)
+    found = _decode_spec(stored, _Rollout)
     status = _RolloutStatus()
     if stored.status:
         try:
@@ -279,7 +281,7 @@
     return {"state": state.value, "target": order.target}
 
 
-def _convert(
+def _decode_spec(
     stored: StoredObject, cls: type[Any], *, strict: bool = False
 ) -> Any:
     try:
@@ -325,14 +327,14 @@
     )
 
 
-def _route(found: _Route) -> Route:
+def _to_route(found: _Route) -> Route:
     targets = [Target(one.service, one.weight) for one in found.split]
     return Route(
         name=found.name,
         host=found.host,
         prefix=found.path_prefix,
         targets=tuple(targets or [Target(found.service)]),
-        repeat=_repeat(found),
+        repeat=_repeat_policy(found),
         streaming=found.kind == _STREAMING,
         timeout_s=found.timeout_ms / 1000,
         goal_s=found.goal_ms / 1000,
@@ -344,7 +346,7 @@
     )
 
 
-def _repeat(found: _Route) -> Repeat:
+def _repeat_policy(found: _Route) -> Repeat:
     """Return whether requests may be repeated; an unknown kind runs once."""
     if found.kind == _IDEMPOTENT:
         return Repeat.IDEMPOTENT
@@ -353,7 +355,7 @@
     return Repeat.ONCE
 
 
-def _service(found: _Service) -> ServiceLimits:
+def _to_service_limits(found: _Service) -> ServiceLimits:
     models = found.engine.models if found.engine else []
     return ServiceLimits(
         name=found.name,
--- a/lacewingdock/platform/engine_report.py
+++ b/lacewingdock/platform/engine_report.py
@@ -8,7 +8,7 @@
 from lacewingdock.world.engine_load import EngineLoad
 
 PATH = "/report"
-# Bytes of a report that are read.
+# Maximum size of a report, in bytes; a longer one is cut off.
 MAX_BYTES = 1024 * 1024
 
 
--- a/lacewingdock/platform/eras.py
+++ b/lacewingdock/platform/eras.py
@@ -71,7 +71,7 @@
             previous = self.era
             if era <= previous:
                 return
-            self._enter(era)
+            self._set_era(era)
         self._notify(era, previous)
 
     def observe(
@@ -115,11 +115,11 @@
                     ErrorKind.PLATFORM_UNAVAILABLE,
                     f"answer is of era {named}, but the store is in {previous}",
                 )
-            self._enter(named)
+            self._set_era(named)
         self._notify(named, previous)
         return named
 
-    def _enter(self, era: int) -> None:
+    def _set_era(self, era: int) -> None:
         self.restores += bool(self.era)
         self.era = era
         self.since = self.clock.now()
--- a/lacewingdock/platform/history.py
+++ b/lacewingdock/platform/history.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-# Era and count together fill the 63 bits of a signed integer, as every encoding
-# can carry it: a million restores with 8.8 trillion changes each.
+# Era and count together take the 63 bits that a signed integer has in every
+# encoding: a million restores, with 8.8 trillion changes each.
 COUNT_BITS: Final = 43
 MAX_COUNT: Final = 2**COUNT_BITS - 1
 MAX_ERA: Final = 2**20 - 1
--- a/lacewingdock/platform/metrics.py
+++ b/lacewingdock/platform/metrics.py
@@ -23,12 +23,12 @@
 
     def collect(self) -> Iterator[Metric]:
         """Yield the current counters."""
-        yield _by_purpose(
+        yield _counter_by_purpose(
             "calls",
             "Calls to the platform; a waiting watch is one",
             self.store.calls,
         )
-        yield _by_purpose(
+        yield _counter_by_purpose(
             "calls_failed",
             "Calls to the platform without a usable answer",
             self.store.failures,
@@ -40,7 +40,7 @@
         )
 
 
-def _by_purpose(name: str, text: str, counts: dict[str, int]) -> Metric:
+def _counter_by_purpose(name: str, text: str, counts: dict[str, int]) -> Metric:
     found = CounterMetricFamily(
         f"lacewingdock_platform_{name}", text, labels=["purpose"]
     )
--- a/lacewingdock/platform/object_api.py
+++ b/lacewingdock/platform/object_api.py
@@ -40,14 +40,15 @@
     to_stored_object,
 )
 
-# Seconds for a call, apart from the time for which a watch waits.
+# Timeout of a call, in seconds, besides the wait of a watch.
 CALL_TIMEOUT_S: Final = 2.0
-# Milliseconds to open a connection.
+# Timeout of opening a connection, in milliseconds.
 CONNECT_TIMEOUT_MS: Final = 1000
 # Revision that stands for an object that does not exist.
 ABSENT: Final = 0
 
-# Bytes of an answer's body; a longer list could exhaust the daemon's memory.
+# Maximum size of an answer's body, in bytes. A longer list could exhaust the
+# daemon's memory.
 MAX_ANSWER_BYTES: Final = 32 * 1024 * 1024
 
 # Return value of a write callback that makes pycurl abort the transfer.
@@ -111,7 +112,10 @@
             LacewingdockError: PLATFORM_UNAVAILABLE.
         """
         reply = self._call(
-            "GET", _path(kind, name), purpose, accepted=(HTTPStatus.NOT_FOUND,)
+            "GET",
+            _object_path(kind, name),
+            purpose,
+            accepted=(HTTPStatus.NOT_FOUND,),
         )
         if reply.status == HTTPStatus.NOT_FOUND:
             return None
@@ -134,8 +138,8 @@
         Args:
             kind: The kind.
             purpose: Label of the call in `calls` and `failures`.
-            stale: Whether the answer may be seconds old; such a read costs
-                the platform a tenth.
+            stale: Whether the answer may be seconds old. Such a read costs
+                the platform a tenth of a consistent one.
             timeout_s: Timeout for each page, in seconds.
 
         Raises:
@@ -145,7 +149,9 @@
         query = {"serializable": "1"} if stale else {}
         while True:
             text = urllib.parse.urlencode(query)
-            path = f"{_path(kind)}?{text}" if text else _path(kind)
+            path = (
+                f"{_object_path(kind)}?{text}" if text else _object_path(kind)
+            )
             reply = self._call(
                 "GET", path, purpose, timeout_s=timeout_s, stale=stale
             )
@@ -200,7 +206,7 @@
         query = urllib.parse.urlencode(fields)
         reply = self._call(
             "GET",
-            f"{_path(kind)}?{query}",
+            f"{_object_path(kind)}?{query}",
             purpose,
             accepted=(HTTPStatus.GONE,),
             timeout_s=wait_s + grace_s,
@@ -235,17 +241,17 @@
             Whether the object was written, and its current state.
 
         Raises:
-            LacewingdockError: PLATFORM_UNAVAILABLE, with ran "unknown" where
+            LacewingdockError: PLATFORM_UNAVAILABLE, with ran "unknown" if
                 the write may have taken effect or may do so later.
         """
         metadata: dict[str, Any] = {"name": name, "finalizers": []}
         body = {"metadata": metadata, "spec": spec}
         if expect == ABSENT:
-            return self._write("POST", _path(kind), name, body, purpose)
+            return self._write("POST", _object_path(kind), name, body, purpose)
         if era_of(expect) != self.eras.era:
             return False, self._read_current(kind, name, purpose)
         metadata["revision"] = count_of(expect)
-        path = _path(kind, name)
+        path = _object_path(kind, name)
         return self._write("PUT", path, name, body, purpose, expect)
 
     def overwrite(
@@ -277,7 +283,7 @@
             return False, self._read_current(kind, name, purpose)
         metadata = {"name": name, "revision": count_of(expect)}
         body = {"metadata": metadata, "status": status}
-        path = f"{_path(kind, name)}/status"
+        path = f"{_object_path(kind, name)}/status"
         return self._write("PUT", path, name, body, purpose, expect)
 
     def remove(self, kind: str, name: str, expect: int, purpose: str) -> bool:
@@ -291,7 +297,7 @@
         """
         if era_of(expect) != self.eras.era:
             return not self._read_current(kind, name, purpose).revision
-        path = f"{_path(kind, name)}?revision={count_of(expect)}"
+        path = f"{_object_path(kind, name)}?revision={count_of(expect)}"
         accepted = (HTTPStatus.CONFLICT, HTTPStatus.NOT_FOUND)
         reply = self._call("DELETE", path, purpose, accepted=accepted)
         return reply.status != HTTPStatus.CONFLICT
@@ -447,7 +453,7 @@
 
 
 def unavailable_error(detail: str, ran: str) -> LacewingdockError:
-    """Return the PLATFORM_UNAVAILABLE error of a call.
+    """Build the PLATFORM_UNAVAILABLE error of a call.
 
     Args:
         detail: The call, and why its answer is missing or unusable.
@@ -456,7 +462,7 @@
     return LacewingdockError(ErrorKind.PLATFORM_UNAVAILABLE, detail, ran)
 
 
-def _path(kind: str, name: str = "") -> str:
+def _object_path(kind: str, name: str = "") -> str:
     path = f"/objects/{urllib.parse.quote(kind, safe='')}"
     return f"{path}/{urllib.parse.quote(name)}" if name else path
 
--- a/lacewingdock/platform/ratings.py
+++ b/lacewingdock/platform/ratings.py
@@ -16,9 +16,9 @@
 from lacewingdock.helpers.http_client import send
 from lacewingdock.helpers.json import decode_json
 
-# Seconds for a call.
+# Timeout of a call, in seconds.
 TIMEOUT_S: Final = 1.0
-# Bytes of an answer's body.
+# Maximum size of an answer's body, in bytes.
 MAX_ANSWER_BYTES: Final = 1024 * 1024
 
 Score = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
@@ -58,6 +58,8 @@
 
 @dataclass(slots=True)
 class _Verdict:
+    """The service's immediate verdict on an answer, from 0 to 1."""
+
     score: Score
 
 
--- a/lacewingdock/platform/store.py
+++ b/lacewingdock/platform/store.py
@@ -87,7 +87,7 @@
             LacewingdockError: PLATFORM_UNAVAILABLE.
         """
         found = self.read(collection, name, purpose)
-        return Stored(name, ABSENT) if found is None else _stored(found)
+        return Stored(name, ABSENT) if found is None else _to_value(found)
 
     def list_all(
         self, collection: str, purpose: str, prefix: str = "", after: int = -1
@@ -111,7 +111,7 @@
         return Listing(
             head,
             [
-                _stored(entry)
+                _to_value(entry)
                 for entry in entries
                 if entry.name.startswith(prefix) and entry.revision > after
             ],
@@ -137,7 +137,7 @@
             # change of the dropped history.
             return self.list_all(collection, purpose, prefix, after)
         latest = {
-            change.object.name: _stored(change.object)
+            change.object.name: _to_value(change.object)
             for change in found.changes
             if change.object.name.startswith(prefix)
         }
@@ -190,7 +190,7 @@
             if error.ran == RAN_NO:
                 raise
             return self._resolve_write(collection, name, value, writer, expect)
-        if written or _stored(found).writer == writer:
+        if written or _to_value(found).writer == writer:
             return Stored(name, found.revision, value, writer)
         raise LacewingdockError(
             ErrorKind.CONFLICT,
@@ -230,7 +230,7 @@
         self._instances_revision = found.revision
 
     def _add_instances(self, entries: list[StoredObject]) -> None:
-        for name, instance in _instances(entries):
+        for name, instance in _decode_instances(entries):
             self._instances[name] = instance
 
     def _resolve_write(
@@ -278,7 +278,7 @@
         )
 
 
-def _stored(found: StoredObject) -> Stored:
+def _to_value(found: StoredObject) -> Stored:
     """Convert an object to a value; a foreign format is read as a tombstone."""
     spec = found.spec
     if not isinstance(spec, dict):
@@ -292,7 +292,7 @@
     )
 
 
-def _instances(
+def _decode_instances(
     entries: list[StoredObject],
 ) -> Iterator[tuple[str, Instance]]:
     """Decode instances; an invalid entry must not hide the others."""
--- a/lacewingdock/platform/wire.py
+++ b/lacewingdock/platform/wire.py
@@ -52,7 +52,7 @@
     }
 )
 # Headers that only the router sets. A caller could use them to reserve an
-# engine's memory, move another caller's, or name another workspace.
+# engine's memory, move another caller's memory, or name another workspace.
 _SET_BY_ROUTER: Final = frozenset(
     {
         CREDENTIAL,
@@ -72,7 +72,7 @@
 )
 # Status of an instance that the request was not addressed to.
 _MISDIRECTED: Final = 421
-# Statuses of an instance that rejects a request because of its own load.
+# Statuses of an instance that rejects a request because of its own state.
 _REJECTION_STATUSES: Final = (429, 503)
 _LEAVING_VALUE: Final = b"1"
 # Headers expected in upstreams' answers, besides the hop-by-hop ones.
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -130,9 +130,10 @@
 
 
 def test_answer_without_a_readable_era_counts_as_of_the_current_one():
-    """Guards against rejecting the store's answers after a bad era header.
+    """Guards against a router that receives nothing after a bad era header.
 
-    Cause: an answer without a readable era changed the current era.
+    An answer with an invalid header, or without one, must leave the current
+    era in force.
     """
     eras = StoreEras(Clock())
     assert eras.observe([], 0) == 0
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("name", sorted(KNOWN - ORDINARY))
 def test_each_known_header_has_a_row(name):
-    """Guards against a known header that the documentation leaves out."""
+    """Guards against a header that is listed as known but not considered."""
     assert any(
         name in words.lower().replace("event ids", "last-event-id")
         for words, *_ in ROWS
