--- a/lacewingdock/components/cascades/coordinator.py
+++ b/lacewingdock/components/cascades/coordinator.py
@@ -24,7 +24,7 @@
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.ids import new_id
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.platform.ratings import Ratings, Sample
+from lacewingdock.platform.ratings import RatingSample, RatingService
 from lacewingdock.world.objects import Step, Workspace
 from lacewingdock.world.world import World
 
@@ -118,7 +118,7 @@
         "wants",
     )
 
-    def __init__(self, daemon: Daemon, ratings: Ratings | None) -> None:
+    def __init__(self, daemon: Daemon, ratings: RatingService | None) -> None:
         """Start without experience."""
         self.daemon = daemon
         self.ratings = ratings
@@ -126,7 +126,7 @@
         self.open: collections.OrderedDict[str, Open] = (
             collections.OrderedDict()
         )
-        self.waiting: collections.deque[Sample] = collections.deque(
+        self.waiting: collections.deque[RatingSample] = collections.deque(
             maxlen=MAX_OPEN_SAMPLES
         )
         self.unjudged: collections.deque[tuple[Route, Seen]] = (
@@ -215,7 +215,7 @@
             self._hand_in(route, seen)
 
     def _hand_in(self, route: Route, seen: Seen) -> None:
-        sample = Sample(new_id(), seen.messages, seen.text)
+        sample = RatingSample(new_id(), seen.messages, seen.text)
         with self._lock:
             self.open[sample.id] = Open(
                 route, seen.step, seen.score, seen.given, seen.version
@@ -258,7 +258,7 @@
                     known.given,
                 )
 
-    def _judge_late(self, ratings: Ratings) -> None:
+    def _judge_late(self, ratings: RatingService) -> None:
         """Get verdicts on sampled answers that were streamed without one."""
         while self.unjudged:
             route, seen = self.unjudged[0]
@@ -296,7 +296,7 @@
     return f"size-{(size.bit_length() + 1) // 2}"
 
 
-def setup(daemon: Daemon, ratings: Ratings | None) -> Cascades:
+def setup(daemon: Daemon, ratings: RatingService | None) -> Cascades:
     """Set the cascades up."""
     cascades = Cascades(daemon, ratings)
     daemon.add(NAME, cascades)
--- a/lacewingdock/components/mirror/__init__.py
+++ b/lacewingdock/components/mirror/__init__.py
@@ -20,13 +20,13 @@
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.platform.eras import EarlierEraError
-from lacewingdock.platform.history import era_of, shown
+from lacewingdock.platform.history import era_of, format_revision
 from lacewingdock.platform.object_api import (
     CALL_TIMEOUT_S,
     HistoryGoneError,
     ObjectApi,
 )
-from lacewingdock.platform.objects import Changes, Snapshot, StoredObject
+from lacewingdock.platform.objects import ObjectChanges, Snapshot, StoredObject
 
 # Seconds that the answer to a watch may take beyond the time it waits.
 WATCH_GRACE_S: Final = 0.6
@@ -195,7 +195,7 @@
             changes = self.history.since(after)
             if changes is not None:
                 revision = max(self.revision, after)
-                copy.changes = Changes(revision, changes)
+                copy.changes = ObjectChanges(revision, changes)
             else:
                 copy.snapshot = Snapshot(self.revision, dict(self.objects))
             return copy
@@ -246,7 +246,7 @@
         as_of = asked_at - copy.age_s
         received = copy.changes or copy.snapshot
         if received is not None:
-            self.api.eras.heard(era_of(received.revision))
+            self.api.eras.observe_peer_era(era_of(received.revision))
         doubtful = self.health.doubtful or not copy.sure
         if copy.changes is not None:
             self._apply_changes(after, copy.changes, as_of, doubtful=doubtful)
@@ -317,7 +317,7 @@
                 log.info(
                     "history gone",
                     kind=self.kind,
-                    after=shown(self.revision),
+                    after=format_revision(self.revision),
                 )
             else:
                 return
@@ -369,7 +369,7 @@
         return WATCH_GRACE_S + max(self.wait_s() - wait_s, 0.0)
 
     def _apply_changes(
-        self, after: int, found: Changes, as_of: float, *, doubtful: bool
+        self, after: int, found: ObjectChanges, as_of: float, *, doubtful: bool
     ) -> bool:
         """Apply the changes that came after a revision.
 
@@ -446,12 +446,12 @@
         found = copy.snapshot
         if found is None:
             return
-        self.api.eras.heard(era_of(found.revision))
+        self.api.eras.observe_peer_era(era_of(found.revision))
         log.info(
             "copy applied from another router",
             kind=self.kind,
-            revision=shown(found.revision),
-            before=shown(self.revision),
+            revision=format_revision(found.revision),
+            before=format_revision(self.revision),
         )
         self._apply_snapshot(found)
 
@@ -481,8 +481,8 @@
                 log.info(
                     "older copy ignored",
                     kind=self.kind,
-                    revision=shown(found.revision),
-                    known=shown(known),
+                    revision=format_revision(found.revision),
+                    known=format_revision(known),
                 )
                 return
             before = self.objects
@@ -494,7 +494,9 @@
                 self.history = ChangeHistory(found.revision)
             else:
                 changes = differences(before, found.objects)
-                self.history.add_list(known, Changes(found.revision, changes))
+                self.history.add_list(
+                    known, ObjectChanges(found.revision, changes)
+                )
             self._record_unseen(waited=False)
             self.as_of = max(self.as_of, as_of)
             doubtful = self.health.doubtful or not sure
--- a/lacewingdock/components/mirror/listener.py
+++ b/lacewingdock/components/mirror/listener.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from lacewingdock.platform.objects import Change, Snapshot, StoredObject
+from lacewingdock.platform.objects import ObjectChange, Snapshot, StoredObject
 
 
 class Listener(Protocol):
@@ -12,7 +12,7 @@
     def replace(self, snapshot: Snapshot, *, doubtful: bool) -> None:
         """Apply a complete list; if doubtful, missing entries may still run."""
 
-    def change(self, change: Change, *, doubtful: bool) -> None:
+    def change(self, change: ObjectChange, *, doubtful: bool) -> None:
         """Apply one change; if doubtful, a removed entry may still run."""
 
 
@@ -44,7 +44,7 @@
         for stored in snapshot.objects.values():
             self.take(stored)
 
-    def change(self, change: Change, *, doubtful: bool) -> None:
+    def change(self, change: ObjectChange, *, doubtful: bool) -> None:
         """Pass on one change, unless its object is merely unlisted."""
         del doubtful
         if change.unlisted:
--- a/lacewingdock/platform/metrics.py
+++ b/lacewingdock/platform/metrics.py
@@ -1,4 +1,4 @@
-"""Support for showing the calls to the platform as metrics."""
+"""Metrics of the calls to the platform."""
 
 from collections.abc import Iterator
 
@@ -9,26 +9,26 @@
 
 
 class PlatformCalls(Collector):
-    """Collects a store's calls by purpose.
+    """Prometheus collector of the numbers of calls, by purpose.
 
     Attributes:
-        store: The store.
+        store: Client whose calls are collected.
     """
 
     __slots__ = ("store",)
 
     def __init__(self, store: ObjectApi) -> None:
-        """Take the store."""
+        """Collect the calls of a client of the store."""
         self.store = store
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the counts as they are now."""
-        yield _by_purpose(
+        """Yield the current counters."""
+        yield _counter_by_purpose(
             "calls",
             "Calls to the platform; a waiting watch is one",
             self.store.calls,
         )
-        yield _by_purpose(
+        yield _counter_by_purpose(
             "calls_failed",
             "Calls to the platform without a usable answer",
             self.store.failures,
@@ -40,7 +40,7 @@
         )
 
 
-def _by_purpose(name: str, text: str, counts: dict[str, int]) -> Metric:
+def _counter_by_purpose(name: str, text: str, counts: dict[str, int]) -> Metric:
     found = CounterMetricFamily(
         f"lacewingdock_platform_{name}", text, labels=["purpose"]
     )
--- a/tests/components/mirror/simulated_store.py
+++ b/tests/components/mirror/simulated_store.py
@@ -14,11 +14,11 @@
 from lacewingdock.platform.object_api import (
     CALL_TIMEOUT_S,
     HistoryGoneError,
-    unavailable,
+    unavailable_error,
 )
 from lacewingdock.platform.objects import (
-    Change,
-    Changes,
+    ObjectChange,
+    ObjectChanges,
     Snapshot,
     StoredObject,
 )
@@ -180,7 +180,7 @@
         changes = [
             change for at, r, _, change in log if r > revision and at <= now
         ]
-        return Changes(max(self._revision(now), revision), changes)
+        return ObjectChanges(max(self._revision(now), revision), changes)
 
     def drop_connection(self, kind):
         """Close the connection for a kind."""
@@ -204,7 +204,7 @@
 
     def _take_era(self, began, at, *, stale=False):
         era = self._history(at).era
-        self.eras.take([str(era)], began, stale=stale)
+        self.eras.observe([str(era)], began, stale=stale)
 
     def _revision(self, at):
         history = self._history(at)
@@ -255,7 +255,7 @@
     def _fail(self, kind, after_s):
         self._opened.pop(kind, None)
         self.time.sleep(after_s)
-        raise unavailable("no answer", RAN_NO)
+        raise unavailable_error("no answer", RAN_NO)
 
 
 @dataclass
@@ -280,7 +280,7 @@
             return
         last = self.log[-1][1] if self.log else revision_of(self.era, 1)
         spec = known.get((one.kind, one.name)) if removed else one.spec
-        change = Change(StoredObject(one.name, last + 1, spec), removed)
+        change = ObjectChange(StoredObject(one.name, last + 1, spec), removed)
         self.log.append((one.at, last + 1, one.kind, change))
 
     def objects(self):
