--- a/lacewingdock/cli.py
+++ b/lacewingdock/cli.py
@@ -168,13 +168,13 @@
         """
         from lacewingdock.components.story import (
             list_requests,
-            read_lines,
-            tell_request,
+            parse_lines,
+            trace_request,
         )
 
-        lines = read_lines(sys.stdin)
+        lines = parse_lines(sys.stdin)
         if request:
-            return tell_request(lines, request)
+            return trace_request(lines, request)
         return list_requests(lines, workspace, since, until)
 
     @command(ShowSettings)
--- a/lacewingdock/components/inspection/__init__.py
+++ b/lacewingdock/components/inspection/__init__.py
@@ -79,7 +79,7 @@
     ) -> None:
         path, _, _ = request.target.partition(b"?")
         if path == METRICS_PATH:
-            kind, body = self._expose().render()
+            kind, body = self._get_exposition().render()
         elif path == STATE_PATH:
             kind = "application/json"
             body = msgspec.json.encode(self.state())
@@ -89,7 +89,7 @@
         headers = [(b"Content-Type", kind.encode())]
         connection.answer(HTTPStatus.OK, headers, body)
 
-    def _expose(self) -> "Exposition":
+    def _get_exposition(self) -> "Exposition":
         """Return the metrics; the first call loads the library for them."""
         if self._exposition is None:
             from lacewingdock.components.inspection.exposition import Exposition
--- a/lacewingdock/components/inspection/beliefs.py
+++ b/lacewingdock/components/inspection/beliefs.py
@@ -13,7 +13,7 @@
 from lacewingdock.components.inspection.state import RouterState
 
 
-class Beliefs(Collector):
+class StateCollector(Collector):
     """Collects gauges from a router's state when they are asked for.
 
     Attributes:
@@ -33,25 +33,27 @@
     def collect(self) -> Iterator[Metric]:
         """Yield the gauges as they are now."""
         state = self.state()
-        yield _plain("active_requests", "Requests in progress", state.active)
-        yield _plain(
+        yield _single_gauge(
+            "active_requests", "Requests in progress", state.active
+        )
+        yield _single_gauge(
             "configuration_version",
             "Version of the configuration in force; 0 without",
             state.configuration or 0,
         )
-        yield _plain(
+        yield _single_gauge(
             "store_away",
             "1 while the store does not answer this router",
             state.store_away,
         )
-        yield _plain(
+        yield _single_gauge(
             "store_doubtful",
             "1 while a missing entry need not mean that something is gone",
             state.store_doubtful,
         )
-        yield from _suspects(state)
-        yield from _store(state)
-        yield from _eras(state)
+        yield from _poison_request_metrics(state)
+        yield from _store_metrics(state)
+        yield from _era_metrics(state)
         yield _counter(
             "told_bytes",
             "Bytes of messages to other routers that links carried",
@@ -62,12 +64,12 @@
             "Datagrams that no router known here sent",
             state.messages_refused,
         )
-        yield _plain(
+        yield _single_gauge(
             "watches_store",
             "1 while this router watches the store itself",
             state.watches,
         )
-        yield _plain(
+        yield _single_gauge(
             "listeners",
             "Routers that take the store's news from this one",
             state.listeners,
@@ -112,15 +114,15 @@
             "How often an instance asked this router for rest, while at none",
             state.rests_asked,
         )
-        yield from _unknown_names(state)
-        yield from _cordons(state)
-        yield from _upstreams(state)
-        yield from _services(state)
-        yield from _roll_outs(state)
+        yield from _unknown_name_metrics(state)
+        yield from _cordon_metrics(state)
+        yield from _upstream_metrics(state)
+        yield from _service_metrics(state)
+        yield from _rollout_metrics(state)
 
 
-def _eras(state: RouterState) -> Iterator[Metric]:
-    yield _plain(
+def _era_metrics(state: RouterState) -> Iterator[Metric]:
+    yield _single_gauge(
         "store_era",
         "Era that the store's answers name; 0 where they name none",
         state.store_era,
@@ -140,14 +142,14 @@
         "Answers of the store whose era can't be read",
         state.eras_unread,
     )
-    yield _plain(
+    yield _single_gauge(
         "older_entries",
         "Instances whose listed entry tells less than is known of them",
         state.older_entries,
     )
 
 
-def _plain(name: str, text: str, value: float) -> Metric:
+def _single_gauge(name: str, text: str, value: float) -> Metric:
     return GaugeMetricFamily(f"lacewingdock_router_{name}", text, value=value)
 
 
@@ -155,12 +157,14 @@
     return CounterMetricFamily(f"lacewingdock_router_{name}", text, value=value)
 
 
-def _gauge(name: str, text: str, labels: list[str]) -> GaugeMetricFamily:
+def _labelled_gauge(
+    name: str, text: str, labels: list[str]
+) -> GaugeMetricFamily:
     return GaugeMetricFamily(f"lacewingdock_router_{name}", text, labels=labels)
 
 
-def _store(state: RouterState) -> Iterator[Metric]:
-    ages = _gauge(
+def _store_metrics(state: RouterState) -> Iterator[Metric]:
+    ages = _labelled_gauge(
         "copy_age_seconds",
         "Seconds since the store last said what a kind of objects is",
         ["kind"],
@@ -170,20 +174,20 @@
             ages.add_metric([copy.kind], copy.age_s)
     yield ages
     if state.store_returned_s is not None:
-        yield _plain(
+        yield _single_gauge(
             "store_returned_seconds",
             "Seconds since the store answered this router again",
             state.store_returned_s,
         )
 
 
-def _suspects(state: RouterState) -> Iterator[Metric]:
-    yield _plain(
+def _poison_request_metrics(state: RouterState) -> Iterator[Metric]:
+    yield _single_gauge(
         "suspects",
         "Requests that were lost and not answered since",
         state.suspects,
     )
-    yield _plain(
+    yield _single_gauge(
         "suspects_held",
         "Requests that are held back, as they crash what runs them",
         state.suspects_held,
@@ -198,7 +202,7 @@
     yield decisions
 
 
-def _unknown_names(state: RouterState) -> Iterator[Metric]:
+def _unknown_name_metrics(state: RouterState) -> Iterator[Metric]:
     uses = CounterMetricFamily(
         "lacewingdock_router_unknown_names",
         "Headers of answers, values of theirs and fields of objects that "
@@ -214,8 +218,8 @@
     yield uses
 
 
-def _cordons(state: RouterState) -> Iterator[Metric]:
-    cordons = _gauge(
+def _cordon_metrics(state: RouterState) -> Iterator[Metric]:
+    cordons = _labelled_gauge(
         "cordoned",
         "1 for a failure domain whose instances get nothing new",
         ["failure_domain"],
@@ -225,13 +229,15 @@
     yield cordons
 
 
-def _upstreams(state: RouterState) -> Iterator[Metric]:
+def _upstream_metrics(state: RouterState) -> Iterator[Metric]:
     counts = Counter((one.service, one.state) for one in state.upstreams)
-    instances = _gauge("upstreams", "Upstream instances", ["service", "state"])
+    instances = _labelled_gauge(
+        "upstreams", "Upstream instances", ["service", "state"]
+    )
     for labels, count in counts.items():
         instances.add_metric(list(labels), count)
     yield instances
-    limits = _gauge(
+    limits = _labelled_gauge(
         "limit_per_second",
         "Requests a second that an instance takes from all routers",
         ["service", "upstream"],
@@ -242,12 +248,12 @@
     yield limits
 
 
-def _services(state: RouterState) -> Iterator[Metric]:
-    retries = _gauge("retries_left", "Retries saved up", ["service"])
-    lateness = _gauge(
+def _service_metrics(state: RouterState) -> Iterator[Metric]:
+    retries = _labelled_gauge("retries_left", "Retries saved up", ["service"])
+    lateness = _labelled_gauge(
         "lateness", "How late answers begin, in their goal", ["service"]
     )
-    slowdown = _gauge(
+    slowdown = _labelled_gauge(
         "slowdown", "Pauses of streams, in times those at rest", ["service"]
     )
     for one in state.services:
@@ -259,8 +265,8 @@
     yield slowdown
 
 
-def _roll_outs(state: RouterState) -> Iterator[Metric]:
-    answers = _gauge(
+def _rollout_metrics(state: RouterState) -> Iterator[Metric]:
+    answers = _labelled_gauge(
         "roll_out_answers",
         "Answers of the new version that this router saw",
         ["service", "stage", "bad"],
--- a/lacewingdock/components/inspection/exposition.py
+++ b/lacewingdock/components/inspection/exposition.py
@@ -24,15 +24,15 @@
     RequestLabels,
     TimeLabels,
 )
-from lacewingdock.components.inspection.beliefs import Beliefs
+from lacewingdock.components.inspection.beliefs import StateCollector
 from lacewingdock.components.inspection.state import RouterState
 from lacewingdock.platform.metrics import PlatformCalls
 from lacewingdock.platform.object_api import ObjectApi
 
-_BOUNDS: Final = (*(str(bound) for bound in BUCKETS_S), "+Inf")
+_BUCKET_BOUNDS: Final = (*(str(bound) for bound in BUCKETS_S), "+Inf")
 
 
-class Requests(Collector):
+class RequestCollector(Collector):
     """Collects the counts of requests and attempts.
 
     Attributes:
@@ -66,7 +66,7 @@
             labels=TimeLabels._fields,
         )
         for when, times in found.seconds.items():
-            seconds.add_metric(when, _buckets(times), times.total_s)
+            seconds.add_metric(when, _cumulative_buckets(times), times.total_s)
         yield seconds
 
 
@@ -87,8 +87,8 @@
     ) -> None:
         """Register what is collected."""
         self.registry = CollectorRegistry()
-        self.registry.register(Beliefs(state))
-        self.registry.register(Requests(metrics))
+        self.registry.register(StateCollector(state))
+        self.registry.register(RequestCollector(metrics))
         self.registry.register(PlatformCalls(api))
 
     def render(self) -> tuple[str, bytes]:
@@ -109,6 +109,6 @@
     return found
 
 
-def _buckets(times: DurationHistogram) -> list[tuple[str, float]]:
+def _cumulative_buckets(times: DurationHistogram) -> list[tuple[str, float]]:
     """Return bounds and counts up to each."""
-    return list(zip(_BOUNDS, accumulate(times.counts), strict=True))
+    return list(zip(_BUCKET_BOUNDS, accumulate(times.counts), strict=True))
--- a/lacewingdock/components/story/__init__.py
+++ b/lacewingdock/components/story/__init__.py
@@ -15,16 +15,16 @@
 from lacewingdock.helpers.json import decode_json
 
 # What a router believed shortly before and while it served a request.
-BEFORE: Final = timedelta(seconds=5)
+LOOKBACK: Final = timedelta(seconds=5)
 # Fields that say where a line comes from, and what it is about.
-_COMMON: Final = frozenset(
+_COMMON_FIELDS: Final = frozenset(
     {"time", "level", "logger", "message", "instance", "failure_domain"}
 )
-_REQUEST: Final = "request"
+_REQUEST_FIELD: Final = "request"
 
 
 @dataclass(slots=True)
-class Line:
+class LogLine:
     """One log line.
 
     Attributes:
@@ -41,14 +41,14 @@
 
     def __str__(self) -> str:
         """Return the line as text."""
-        said = " ".join(
+        fields_text = " ".join(
             f"{name}={value}" for name, value in self.fields.items()
         )
         at = self.time.time().isoformat("milliseconds")
-        return f"{at} {self.router:<24} {self.message}: {said}"
+        return f"{at} {self.router:<24} {self.message}: {fields_text}"
 
 
-def read_lines(text: Iterable[str]) -> list[Line]:
+def parse_lines(text: Iterable[str]) -> list[LogLine]:
     """Read log lines; what stands before the first brace is passed over."""
     found = []
     for raw in text:
@@ -60,13 +60,13 @@
             at = datetime.fromisoformat(str(line["time"]))
         except (msgspec.DecodeError, KeyError, ValueError):
             continue
-        fields = {k: v for k, v in line.items() if k not in _COMMON}
+        fields = {k: v for k, v in line.items() if k not in _COMMON_FIELDS}
         router = str(line.get("instance", ""))
-        found.append(Line(at, router, str(line.get("message", "")), fields))
+        found.append(LogLine(at, router, str(line.get("message", "")), fields))
     return sorted(found, key=lambda line: line.time)
 
 
-def tell_request(lines: list[Line], request: str) -> str:
+def trace_request(lines: list[LogLine], request: str) -> str:
     """Return what happened to a request and what its routers believed.
 
     Args:
@@ -76,21 +76,22 @@
     Raises:
         LacewingdockError: NOT_FOUND, when no line tells of it.
     """
-    own = [line for line in lines if line.fields.get(_REQUEST) == request]
+    own = [line for line in lines if line.fields.get(_REQUEST_FIELD) == request]
     if not own:
         raise LacewingdockError(
             ErrorKind.NOT_FOUND, f"no line tells of request {request!r}"
         )
-    told = [*own, *_beliefs(lines, own)]
-    told.sort(key=lambda line: line.time)
+    trace = [*own, *_context_lines(lines, own)]
+    trace.sort(key=lambda line: line.time)
     return "\n".join(
-        ("* " if line.fields.get(_REQUEST) == request else "  ") + str(line)
-        for line in told
+        ("* " if line.fields.get(_REQUEST_FIELD) == request else "  ")
+        + str(line)
+        for line in trace
     )
 
 
 def list_requests(
-    lines: list[Line], workspace: str, since: str, until: str
+    lines: list[LogLine], workspace: str, since: str, until: str
 ) -> str:
     """Return the ends of a workspace's requests in a span of time.
 
@@ -103,7 +104,7 @@
     found = [
         line
         for line in lines
-        if line.message == _REQUEST
+        if line.message == _REQUEST_FIELD
         and workspace in ("", line.fields.get("workspace"))
         and since <= line.time.time().isoformat()
         and (not until or line.time.time().isoformat() <= until)
@@ -111,23 +112,23 @@
     return "\n".join(str(line) for line in found) or "no request"
 
 
-def _beliefs(lines: list[Line], own: list[Line]) -> list[Line]:
+def _context_lines(lines: list[LogLine], own: list[LogLine]) -> list[LogLine]:
     """Return what the request's routers came to believe around it."""
     routers = {line.router for line in own}
     upstreams = {line.fields.get("upstream") for line in own} - {None}
     services = {line.fields.get("service") for line in own} - {None, ""}
-    first, last = own[0].time - BEFORE, own[-1].time
+    first, last = own[0].time - LOOKBACK, own[-1].time
     return [
         line
         for line in lines
         if line.router in routers
-        and _REQUEST not in line.fields
+        and _REQUEST_FIELD not in line.fields
         and first <= line.time <= last
-        and _concerns(line, upstreams, services)
+        and _is_related(line, upstreams, services)
     ]
 
 
-def _concerns(line: Line, upstreams: set[Any], services: set[Any]) -> bool:
+def _is_related(line: LogLine, upstreams: set[Any], services: set[Any]) -> bool:
     """Whether a line is of the request's upstreams or service, or of all."""
     # A request that was refused without an attempt has no upstream of its own.
     if "upstream" in line.fields and upstreams:
--- a/lacewingdock/lab/command.py
+++ b/lacewingdock/lab/command.py
@@ -49,7 +49,7 @@
             ErrorKind.BAD_SETTING,
             f"--policies: want two to compare, not {settings.policies!r}",
         )
-    days = _played(load_deployment(file), policies, settings)
+    days = _collect_days(load_deployment(file), policies, settings)
     if verb == "run":
         return day_table(days)
     before, after = (
@@ -59,7 +59,7 @@
     return difference_table(compare(before, after))
 
 
-def _played(
+def _collect_days(
     deployment: Deployment,
     policies: Iterable[Policy],
     settings: SimulateSettings,
@@ -68,16 +68,18 @@
     seeds = range(settings.first_seed, settings.first_seed + settings.seeds)
     wanted = [(policy, seed) for policy in policies for seed in seeds]
     out = Path(settings.out) if settings.out else None
-    known = _read(out, deployment)
-    missing = [one for one in wanted if (one[0].name, one[1]) not in known]
+    played_days = _read(out, deployment)
+    missing = [
+        one for one in wanted if (one[0].name, one[1]) not in played_days
+    ]
     with ProcessPoolExecutor(settings.jobs) as pool:
         plays = [pool.submit(play, deployment, *one) for one in missing]
         for done in as_completed(plays):
             day = done.result()
-            known[day.policy, day.seed] = day
+            played_days[day.policy, day.seed] = day
             _write(out, deployment, day)
             print(f"played {day.policy}, seed {day.seed}", file=sys.stderr)
-    return [known[policy.name, seed] for policy, seed in wanted]
+    return [played_days[policy.name, seed] for policy, seed in wanted]
 
 
 class _Saved(msgspec.Struct):
@@ -87,7 +89,7 @@
     day: Day
 
 
-def _mark(deployment: Deployment) -> str:
+def _deployment_key(deployment: Deployment) -> str:
     """Return what tells deployments apart: all that is played."""
     return msgspec.json.encode(deployment).decode()
 
@@ -108,8 +110,8 @@
         raise LacewingdockError(
             ErrorKind.BAD_SETTING, f"--out: {out}: {error}"
         ) from error
-    mark = _mark(deployment)
-    days = [one.day for one in saved if one.deployment == mark]
+    key = _deployment_key(deployment)
+    days = [one.day for one in saved if one.deployment == key]
     return {(day.policy, day.seed): day for day in days}
 
 
@@ -117,5 +119,5 @@
     if out is None:
         return
     with out.open("ab") as file:
-        line = msgspec.json.encode(_Saved(_mark(deployment), day))
+        line = msgspec.json.encode(_Saved(_deployment_key(deployment), day))
         file.write(line + b"\n")
--- a/lacewingdock/lab/deployment.py
+++ b/lacewingdock/lab/deployment.py
@@ -11,9 +11,9 @@
 from lacewingdock.helpers.toml_file import convert_toml, parse_toml
 
 _Positive = Annotated[float, Meta(gt=0.0)]
-_NotBelow = Annotated[float, Meta(ge=0.0)]
-_Part = Annotated[float, Meta(ge=0.0, le=1.0)]
-_Count = Annotated[int, Meta(ge=1)]
+_NonNegative = Annotated[float, Meta(ge=0.0)]
+_Share = Annotated[float, Meta(ge=0.0, le=1.0)]
+_PositiveInt = Annotated[int, Meta(ge=1)]
 
 
 class Links(msgspec.Struct, forbid_unknown_fields=True):
@@ -27,11 +27,11 @@
         entry_stays_s: For how long the entry of a lost instance stays.
     """
 
-    within_ms: _NotBelow = 0.1
-    between_ms: _NotBelow = 1.0
-    callers_ms: _NotBelow = 1.0
-    entry_late_s: _NotBelow = 0.9
-    entry_stays_s: _NotBelow = 3.6
+    within_ms: _NonNegative = 0.1
+    between_ms: _NonNegative = 1.0
+    callers_ms: _NonNegative = 1.0
+    entry_late_s: _NonNegative = 0.9
+    entry_stays_s: _NonNegative = 3.6
 
 
 class Model(msgspec.Struct, forbid_unknown_fields=True):
@@ -46,8 +46,8 @@
 
     name: str
     pace: _Positive = 1.0
-    quality: _Part = 1.0
-    cost: _NotBelow = 0.0
+    quality: _Share = 1.0
+    cost: _NonNegative = 0.0
 
 
 class Engines(msgspec.Struct, forbid_unknown_fields=True):
@@ -68,17 +68,17 @@
         models: Its models, smallest first.
     """
 
-    per_domain: _Count
-    slots: _Count = 32
-    queue: _Count = 64
+    per_domain: _PositiveInt
+    slots: _PositiveInt = 32
+    queue: _PositiveInt = 64
     step_ms: _Positive = 3.55
-    step_ms_per_running: _NotBelow = 0.046
+    step_ms_per_running: _NonNegative = 0.046
     read_tokens_per_ms: _Positive = 157.0
-    chunk_tokens: _Count = 1024
-    event_tokens: _Count = 9
-    memory_tokens: _Count = 700_000
-    cold_s: _NotBelow = 0.0
-    cold_per_s: _NotBelow = 0.0
+    chunk_tokens: _PositiveInt = 1024
+    event_tokens: _PositiveInt = 9
+    memory_tokens: _PositiveInt = 700_000
+    cold_s: _NonNegative = 0.0
+    cold_per_s: _NonNegative = 0.0
     models: Annotated[list[Model], Meta(min_length=1)] = []
 
 
@@ -91,7 +91,7 @@
     """
 
     mean: _Positive
-    sigma: _NotBelow = 0.0
+    sigma: _NonNegative = 0.0
 
 
 class Traffic(msgspec.Struct, forbid_unknown_fields=True):
@@ -119,14 +119,14 @@
     tokens_in: Spread
     tokens_out: Spread
     shared_tokens: Annotated[int, Meta(ge=0)] = 0
-    subjects: _Count = 1
+    subjects: _PositiveInt = 1
     goal_s: _Positive = 1.0
     gap_s: _Positive = 0.6
     timeout_s: _Positive = 15.0
     worth: _Positive = 1.0
-    late_worth: _NotBelow = 0.1
+    late_worth: _NonNegative = 0.1
     priority: Annotated[int, Meta(ge=0, le=9)] = 1
-    attempts: _Count = 3
+    attempts: _PositiveInt = 3
     retries: Annotated[int, Meta(ge=0)] = 1
 
 
@@ -170,23 +170,23 @@
     """
 
     kind: FaultKind
-    at_s: _NotBelow
+    at_s: _NonNegative
     for_s: _Positive = 1.0
-    share: _Part = 1.0
+    share: _Share = 1.0
     factor: _Positive = 2.0
     domain: str = ""
-    per_s: _NotBelow = 3.0
+    per_s: _NonNegative = 3.0
     rest_s: _Positive = 3.0
 
 
 class Bounds(msgspec.Struct, forbid_unknown_fields=True):
     """What the routers are held to; see `world.host.Bounds`."""
 
-    retry_ratio: _NotBelow = 0.9
-    retry_extra: _NotBelow = 96.0
+    retry_ratio: _NonNegative = 0.9
+    retry_extra: _NonNegative = 96.0
     retry_window_s: _Positive = 10.0
-    cold_overage: _NotBelow = 1.5
-    cold_extra: _NotBelow = 5.0
+    cold_overage: _NonNegative = 1.5
+    cold_extra: _NonNegative = 5.0
 
 
 class Deployment(msgspec.Struct, forbid_unknown_fields=True):
@@ -209,10 +209,10 @@
     name: str
     seconds: _Positive
     domains: Annotated[list[str], Meta(min_length=1)]
-    routers: _Count
+    routers: _PositiveInt
     engines: Engines
     traffic: Annotated[list[Traffic], Meta(min_length=1)]
-    start_s: _NotBelow = 0.7
+    start_s: _NonNegative = 0.7
     sidecars: bool = True
     links: Links = msgspec.field(default_factory=Links)
     faults: list[Fault] = []
--- a/lacewingdock/lab/engine.py
+++ b/lacewingdock/lab/engine.py
@@ -13,13 +13,13 @@
 
 # From when it names a limit, requests are counted after this: the routers have
 # told each other by then.
-TOLD_S: Final = 3.0
+LIMIT_PROPAGATION_S: Final = 3.0
 
 Steps = Generator[simpy.Event, Any, None]
 
 
 @dataclass(slots=True, eq=False)
-class Run:
+class EngineRun:
     """A request at an engine.
 
     Attributes:
@@ -42,29 +42,34 @@
     subject: str
     shared_tokens: int
     own_tokens: int
-    left: int
+    remaining: int
     priority: int
     began: simpy.Event
     ended: simpy.Event
     unread: int = 0
-    made: int = 0
+    generated: int = 0
     longest_gap_s: float = 0.0
 
     @property
     def tokens(self) -> int:
         """Tokens that it takes in memory."""
-        return self.shared_tokens + self.own_tokens + self.made + self.left
+        return (
+            self.shared_tokens
+            + self.own_tokens
+            + self.generated
+            + self.remaining
+        )
 
-    def finish(self, *, whole: bool) -> None:
+    def finish(self, *, complete: bool) -> None:
         """Tell that it ended."""
         if not self.began.triggered:
-            self.began.succeed(whole)
+            self.began.succeed(complete)
         if not self.ended.triggered:
-            self.ended.succeed(whole)
+            self.ended.succeed(complete)
 
 
 @dataclass(slots=True)
-class Arrivals:
+class ArrivalWindow:
     """What arrived at an engine while it took few.
 
     Attributes:
@@ -75,14 +80,14 @@
 
     span_s: float
     times: deque[float] = field(default_factory=deque)
-    most: int = 0
+    peak: int = 0
 
     def add(self, now: float) -> None:
         """Count an arrival."""
         self.times.append(now)
         while self.times[0] < now - self.span_s:
             self.times.popleft()
-        self.most = max(self.most, len(self.times))
+        self.peak = max(self.peak, len(self.times))
 
 
 class Engine:
@@ -108,7 +113,7 @@
     """
 
     __slots__ = (
-        "_kept",
+        "_prefix_cache",
         "_wake",
         "alive",
         "cold",
@@ -139,39 +144,39 @@
         self.name = name
         self.cold_until = cold_until
         self.alive = True
-        self.running: list[Run] = []
-        self.waiting: list[Run] = []
-        self.cold = Arrivals(COLD_SPAN_S)
+        self.running: list[EngineRun] = []
+        self.waiting: list[EngineRun] = []
+        self.cold = ArrivalWindow(COLD_SPAN_S)
         self.limit_per_s: float | None = None
-        self.limited = Arrivals(LIMIT_SPAN_S)
+        self.limited = ArrivalWindow(LIMIT_SPAN_S)
         self.limited_from = 0.0
         self.rest_s: float | None = None
         self.leaving = False
         self.unwanted = 0
-        self._kept: OrderedDict[str, int] = OrderedDict()
+        self._prefix_cache: OrderedDict[str, int] = OrderedDict()
         self._wake = env.event()
         env.process(self._work())
 
-    def submit(self, run: Run) -> bool:
+    def submit(self, run: EngineRun) -> bool:
         """Take a request; return whether there is room for it."""
         if self.env.now < self.cold_until:
             self.cold.add(self.env.now)
-        told_at = self.limited_from + TOLD_S
-        if self.limit_per_s is not None and self.env.now >= told_at:
+        counted_from = self.limited_from + LIMIT_PROPAGATION_S
+        if self.limit_per_s is not None and self.env.now >= counted_from:
             self.limited.add(self.env.now)
         self.unwanted += self.leaving or self.rest_s is not None
         if self.rest_s is not None:
             return False
         if len(self.waiting) >= self.spec.queue:
             return False
-        known = self._kept.get(run.subject, 0)
-        run.unread = run.own_tokens + max(run.shared_tokens - known, 0)
+        cached = self._prefix_cache.get(run.subject, 0)
+        run.unread = run.own_tokens + max(run.shared_tokens - cached, 0)
         self.waiting.append(run)
         self.waiting.sort(key=lambda one: one.priority)
         self._notify()
         return True
 
-    def cancel(self, run: Run) -> None:
+    def cancel(self, run: EngineRun) -> None:
         """Drop a request whose caller or router left."""
         for runs in (self.running, self.waiting):
             if run in runs:
@@ -182,7 +187,7 @@
         """End it, with all that it does."""
         self.alive = False
         for run in self.running + self.waiting:
-            run.finish(whole=False)
+            run.finish(complete=False)
         self.running, self.waiting = [], []
         self._notify()
 
@@ -208,7 +213,7 @@
                 continue
             reading = next((one for one in self.running if one.unread), None)
             step_s = self._step_s(reading)
-            steps = self._steps(reading)
+            steps = self._steps_to_change(reading)
             began = self.env.now
             yield self.env.timeout(steps * step_s) | self._wake
             done = min(round((self.env.now - began) / step_s), steps)
@@ -224,7 +229,7 @@
                 return
             self.running.append(self.waiting.pop(0))
 
-    def _step_s(self, reading: Run | None) -> float:
+    def _step_s(self, reading: EngineRun | None) -> float:
         step_ms = self.spec.step_ms
         step_ms += self.spec.step_ms_per_running * len(self.running)
         if reading is not None:
@@ -232,10 +237,10 @@
             step_ms += chunk * reading.model.pace / self.spec.read_tokens_per_ms
         return step_ms / 1000
 
-    def _steps(self, reading: Run | None) -> int:
+    def _steps_to_change(self, reading: EngineRun | None) -> int:
         """Return after how many steps something changes."""
         ends = [
-            min(one.left, self._to_event(one))
+            min(one.remaining, self._tokens_to_event(one))
             for one in self.running
             if not one.unread
         ]
@@ -243,35 +248,37 @@
             ends.append(math.ceil(reading.unread / self.spec.chunk_tokens))
         return max(min(ends, default=1), 1)
 
-    def _to_event(self, run: Run) -> int:
+    def _tokens_to_event(self, run: EngineRun) -> int:
         """Return how many tokens the first event still lacks."""
         if run.began.triggered:
-            return run.left
-        return max(self.spec.event_tokens - run.made, 1)
+            return run.remaining
+        return max(self.spec.event_tokens - run.generated, 1)
 
-    def _advance(self, steps: int, step_s: float, reading: Run | None) -> None:
+    def _advance(
+        self, steps: int, step_s: float, reading: EngineRun | None
+    ) -> None:
         gap_s = step_s * self.spec.event_tokens
         for run in list(self.running):
             if run.unread:
                 continue
-            run.made += steps
-            run.left -= steps
+            run.generated += steps
+            run.remaining -= steps
             if run.began.triggered:
                 run.longest_gap_s = max(run.longest_gap_s, gap_s)
-            elif run.made >= self.spec.event_tokens or run.left <= 0:
+            elif run.generated >= self.spec.event_tokens or run.remaining <= 0:
                 run.began.succeed(True)
-            if run.left <= 0:
+            if run.remaining <= 0:
                 self.running.remove(run)
-                self._keep(run)
-                run.finish(whole=True)
+                self._cache_prefix(run)
+                run.finish(complete=True)
         if reading is not None and reading in self.running:
             read = steps * self.spec.chunk_tokens
             reading.unread = max(reading.unread - read, 0)
 
-    def _keep(self, run: Run) -> None:
+    def _cache_prefix(self, run: EngineRun) -> None:
         """Keep a shared part; the least recently used ones yield."""
-        self._kept[run.subject] = run.shared_tokens
-        self._kept.move_to_end(run.subject)
+        self._prefix_cache[run.subject] = run.shared_tokens
+        self._prefix_cache.move_to_end(run.subject)
         used = sum(one.tokens for one in self.running)
-        while sum(self._kept.values()) + used > self.spec.memory_tokens:
-            self._kept.popitem(last=False)
+        while sum(self._prefix_cache.values()) + used > self.spec.memory_tokens:
+            self._prefix_cache.popitem(last=False)
--- a/lacewingdock/lab/policy.py
+++ b/lacewingdock/lab/policy.py
@@ -7,7 +7,7 @@
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 
 
-class Choice(StrEnum):
+class InstanceChoice(StrEnum):
     """How an instance is chosen.
 
     Attributes:
@@ -16,8 +16,8 @@
         RANDOM: By a draw.
     """
 
-    ASKED = "asked"
-    KNOWN = "known"
+    PROBED = "asked"
+    OBSERVED = "known"
     RANDOM = "random"
 
 
@@ -49,7 +49,7 @@
     """
 
     name: str
-    choice: Choice = Choice.ASKED
+    choice: InstanceChoice = InstanceChoice.PROBED
     first: FirstModel = FirstModel.CASCADE
     slow_start: bool = True
     replaced: bool = True
@@ -60,8 +60,8 @@
     one.name: one
     for one in (
         Policy("router"),
-        Policy("known", choice=Choice.KNOWN),
-        Policy("random", choice=Choice.RANDOM),
+        Policy("known", choice=InstanceChoice.OBSERVED),
+        Policy("random", choice=InstanceChoice.RANDOM),
         Policy("smallest", first=FirstModel.SMALLEST),
         Policy("largest", first=FirstModel.LARGEST),
         Policy("no-slow-start", slow_start=False),
--- a/lacewingdock/lab/results.py
+++ b/lacewingdock/lab/results.py
@@ -70,21 +70,23 @@
     @property
     def credit(self) -> float:
         """Credit earned, as a part of what is owed."""
-        return share(self.rows)
+        return credit_share(self.rows)
 
     @property
-    def worst(self) -> float:
+    def worst_credit(self) -> float:
         """The same in the two worst windows."""
-        parts = sorted(share(rows) for rows in by_window(self.rows).values())
+        parts = sorted(
+            credit_share(rows) for rows in by_window(self.rows).values()
+        )
         return statistics.fmean(parts[:2]) if parts else 0.0
 
-    def part(self, outcome: Outcome) -> float:
+    def outcome_share(self, outcome: Outcome) -> float:
         """Return the part of the requests that ended in a way."""
         found = sum(row.outcome is outcome for row in self.rows)
         return found / len(self.rows) if self.rows else 0.0
 
 
-def share(rows: Iterable[Row]) -> float:
+def credit_share(rows: Iterable[Row]) -> float:
     """Return the credit earned, as a part of what is owed."""
     rows = list(rows)
     owed = sum(row.owed for row in rows)
@@ -118,8 +120,8 @@
             str(day.seed),
             str(len(day.rows)),
             f"{day.credit:.3f}",
-            f"{day.worst:.3f}",
-            *(f"{day.part(outcome):.3f}" for outcome in Outcome),
+            f"{day.worst_credit:.3f}",
+            *(f"{day.outcome_share(outcome):.3f}" for outcome in Outcome),
             f"{sum(row.price for row in day.rows):.1f}",
             str(day.cold_most),
             str(day.turned_away),
@@ -161,12 +163,12 @@
     )
 
 
-def _share_of_route(route: str, day: Day) -> float:
-    return share(by_route(day.rows).get(route, []))
+def _route_credit_share(route: str, day: Day) -> float:
+    return credit_share(by_route(day.rows).get(route, []))
 
 
-def _share_of_window(second: float, day: Day) -> float:
-    return share(by_window(day.rows).get(second, []))
+def _window_credit_share(second: float, day: Day) -> float:
+    return credit_share(by_window(day.rows).get(second, []))
 
 
 def compare(before: Sequence[Day], after: Sequence[Day]) -> list[Difference]:
@@ -183,7 +185,7 @@
 
     found = [
         figure("credit", lambda day: day.credit),
-        figure("worst windows", lambda day: day.worst),
+        figure("worst windows", lambda day: day.worst_credit),
         figure("price", lambda day: sum(row.price for row in day.rows)),
         figure("cold most", lambda day: float(day.cold_most)),
     ]
@@ -191,14 +193,14 @@
         found.append(
             figure(
                 f"route {route}",
-                functools.partial(_share_of_route, route),
+                functools.partial(_route_credit_share, route),
             )
         )
     for second in sorted({at for a in before for at in by_window(a.rows)}):
         found.append(
             figure(
                 f"second {second:g}",
-                functools.partial(_share_of_window, second),
+                functools.partial(_window_credit_share, second),
             )
         )
     return found
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -44,13 +44,13 @@
     Model,
     Traffic,
 )
-from lacewingdock.lab.engine import Engine, Run
-from lacewingdock.lab.policy import Choice, FirstModel
+from lacewingdock.lab.engine import Engine, EngineRun
+from lacewingdock.lab.policy import FirstModel, InstanceChoice
 from lacewingdock.lab.world import (
     Answer,
-    AskedLoads,
-    Request,
+    CallerRequest,
     SimulatedClock,
+    SimulatedProber,
     World,
 )
 from lacewingdock.world import host
@@ -64,12 +64,12 @@
 CONFIDENCE_SLOPE: Final = 150.0
 CONFIDENCE_SCATTER: Final = 11.0
 # Tokens that are read cost this part of those that are made.
-READ_PRICE_PART: Final = 0.25
+PROMPT_PRICE_SHARE: Final = 0.25
 
 Serving = Generator[simpy.Event, Any, "Answer"]
 
 
-class End(Enum):
+class AttemptEnd(Enum):
     """How an attempt ended.
 
     Attributes:
@@ -80,7 +80,7 @@
         LOST: Without an answer.
     """
 
-    WHOLE = auto()
+    COMPLETE = auto()
     UNSURE = auto()
     UNREACHED = auto()
     REPLACED = auto()
@@ -102,7 +102,7 @@
     tried: list[str] = field(default_factory=list)
     unreached: int = 0
     sent: bool = False
-    made: int = 0
+    generated: int = 0
     answer: Answer = field(default_factory=Answer)
 
 
@@ -129,10 +129,10 @@
         "died",
         "directory",
         "domain",
-        "draw",
         "lateness",
         "limits",
         "name",
+        "rng",
         "world",
     )
 
@@ -149,7 +149,7 @@
         self.world = world
         self.name = name
         self.domain = domain
-        self.draw = random.Random(f"{seed}/{name}/{world.env.now}")
+        self.rng = random.Random(f"{seed}/{name}/{world.env.now}")
         engines, bounds = world.deployment.engines, world.deployment.bounds
         self.limits = ServiceLimits(
             SERVICE,
@@ -159,10 +159,13 @@
         )
         self.directory = Directory(clock)
         self.directory.cold_start_s = lambda _: engines.cold_s
-        self.chooser = Chooser(self.directory, domain, self.draw)
-        if world.deployment.sidecars and world.policy.choice is Choice.ASKED:
+        self.chooser = Chooser(self.directory, domain, self.rng)
+        if (
+            world.deployment.sidecars
+            and world.policy.choice is InstanceChoice.PROBED
+        ):
             # What the chooser asks of it is what `AskedLoads` has.
-            self.chooser.prober = cast(Prober, AskedLoads(world))
+            self.chooser.prober = cast(Prober, SimulatedProber(world))
         if world.policy.slow_start:
             self.chooser.pacer = Pacer(
                 name,
@@ -205,25 +208,27 @@
         self.alive = False
         self.died.succeed()
 
-    def serve(self, request: Request) -> Serving:
+    def serve(self, request: CallerRequest) -> Serving:
         """Serve a request to its final answer."""
         call = Call(request.call, b"POST", b"/", "h", "/", any_model=True)
         route = _route(request.traffic, self.world.deployment)
         self.budgets.count_request()
         cascade = Cascade(self, call, route, SERVICE, self.world.env.now)
-        self._first_model(cascade)
+        self._set_first_model(cascade)
         progress = _Progress()
         while True:
-            instance = yield from self._placed(request, cascade, progress)
+            instance = yield from self._await_instance(
+                request, cascade, progress
+            )
             if instance is None:
                 return progress.answer
             end = yield from self._attempt(request, cascade, progress, instance)
-            if not self._goes_on(request, progress, end):
+            if not self._should_retry(request, progress, end):
                 if not progress.sent:
                     progress.answer.after_s = RETRY_AFTER_S
                 return progress.answer
 
-    def _first_model(self, cascade: Cascade) -> None:
+    def _set_first_model(self, cascade: Cascade) -> None:
         models = self.world.deployment.engines.models
         match self.world.policy.first:
             case FirstModel.SMALLEST:
@@ -233,25 +238,30 @@
             case FirstModel.CASCADE:
                 pass
 
-    def _placed(
-        self, request: Request, cascade: Cascade, progress: _Progress
+    def _await_instance(
+        self, request: CallerRequest, cascade: Cascade, progress: _Progress
     ) -> Generator[simpy.Event, Any, UpstreamInstance | None]:
         """Return the engine of the next attempt; None where there is none."""
         env, traffic = self.world.env, request.traffic
         unread = self._unread(request, cascade)
         part = MAX_WAIT_SHARE * (1.0 - traffic.priority / (LAST_PRIORITY + 1))
-        by = request.end - MIN_LEFT_S
+        deadline = request.end - MIN_LEFT_S
         if not progress.sent:
-            by = min(by, env.now + traffic.goal_s * part)
+            deadline = min(deadline, env.now + traffic.goal_s * part)
         placement_request = PlacementRequest(
-            SERVICE, VersionRule(), unread, progress.tried, request.call, by
+            SERVICE,
+            VersionRule(),
+            unread,
+            progress.tried,
+            request.call,
+            deadline,
         )
         while True:
-            found = self._found(placement_request)
+            found = self._choose_instance(placement_request)
             if isinstance(found, NoInstance):
                 if not progress.sent:
                     after_s = max(found.after_s or 0.0, RETRY_AFTER_S)
-                    spread = self.draw.uniform(1.0, SPREAD_AFTER)
+                    spread = self.rng.uniform(1.0, SPREAD_AFTER)
                     progress.answer.after_s = after_s * spread
                 return None
             if isinstance(found, UpstreamInstance):
@@ -262,48 +272,50 @@
             self.chooser.began(found.instance, unread)
             self.chooser.done(found.instance)
 
-    def _found(
+    def _choose_instance(
         self, placement_request: PlacementRequest
     ) -> UpstreamInstance | Reservation | NoInstance:
-        if self.world.policy.choice is not Choice.RANDOM:
+        if self.world.policy.choice is not InstanceChoice.RANDOM:
             return find_instance(self.chooser, placement_request)
         found = [one for one in self.directory.of_service(SERVICE) if one.open]
         if not found:
             return NoInstance(None)
-        chosen = self.draw.choice(found)
+        chosen = self.rng.choice(found)
         chosen.running += 1
         chosen.unread += placement_request.unread
         return chosen
 
-    def _unread(self, request: Request, cascade: Cascade) -> float:
+    def _unread(self, request: CallerRequest, cascade: Cascade) -> float:
         tokens = request.tokens_in + request.traffic.shared_tokens
         return tokens * self.limits.relative_cost(cascade.model) / WORK_UNIT
 
     def _attempt(
         self,
-        request: Request,
+        request: CallerRequest,
         cascade: Cascade,
         progress: _Progress,
         instance: UpstreamInstance,
-    ) -> Generator[simpy.Event, Any, End]:
+    ) -> Generator[simpy.Event, Any, AttemptEnd]:
         """Make one attempt, and take what it shows."""
         unread = self._unread(request, cascade)
         if self.world.policy.first is FirstModel.CASCADE:
-            resumes_stream = bool(progress.answer.first_at)
+            resumes_stream = bool(progress.answer.first_event_at)
             cascade.on_instance_chosen(instance, resumes_stream=resumes_stream)
         domain = instance.entry.failure_domain
         try:
-            yield self.world.env.timeout(self.world.way_s(self.domain, domain))
-            self.world.promised(instance.entry.host, -1)
+            yield self.world.env.timeout(
+                self.world.delay_s(self.domain, domain)
+            )
+            self.world.add_in_flight(instance.entry.host, -1)
             engine = self.world.engine_at(instance.entry.host)
             if engine is None:
                 yield self.world.env.timeout(CONNECT_S)
                 progress.unreached += 1
                 instance.record_connect_failure()
                 self.directory.assume_cold(instance)
-                return End.UNREACHED
+                return AttemptEnd.UNREACHED
             if engine.name != instance.entry.id:
-                return self._turned_away(instance, engine, progress)
+                return self._record_replacement(instance, engine, progress)
             end = yield from self._run(
                 request, cascade, progress, instance, engine
             )
@@ -312,36 +324,36 @@
             self.chooser.began(instance, unread)
             self.chooser.done(instance)
 
-    def _turned_away(
+    def _record_replacement(
         self, instance: UpstreamInstance, engine: Engine, progress: _Progress
-    ) -> End:
+    ) -> AttemptEnd:
         """Take that another engine lives at the address."""
         self.world.turned_away += 1
         if self.world.policy.replaced:
             self.chooser.replaced(instance, engine.name)
-            return End.REPLACED
+            return AttemptEnd.REPLACED
         instance.failed(0.5)
         progress.tried.append(instance.entry.incarnation)
-        return End.LOST
+        return AttemptEnd.LOST
 
     def _run(
         self,
-        request: Request,
+        request: CallerRequest,
         cascade: Cascade,
         progress: _Progress,
         instance: UpstreamInstance,
         engine: Engine,
-    ) -> Generator[simpy.Event, Any, End]:
+    ) -> Generator[simpy.Event, Any, AttemptEnd]:
         """Have an engine run a request."""
         env = self.world.env
         model = _model(self.world.deployment, cascade.model)
-        run = Run(
+        run = EngineRun(
             call=request.call,
             model=model,
             subject=request.subject,
             shared_tokens=request.traffic.shared_tokens,
-            own_tokens=request.tokens_in + progress.made,
-            left=max(request.tokens_out - progress.made, 1),
+            own_tokens=request.tokens_in + progress.generated,
+            remaining=max(request.tokens_out - progress.generated, 1),
             priority=request.traffic.priority,
             began=env.event(),
             ended=env.event(),
@@ -350,27 +362,29 @@
         sent_at = env.now
         if not engine.submit(run):
             head = AnswerHead(503, [], not_run=True, rest_s=engine.rest_s)
-            self._answered(instance, engine, head, sent_at)
+            self._apply_signals(instance, engine, head, sent_at)
             instance.failed(0.5)
-            return End.LOST
+            return AttemptEnd.LOST
         progress.sent = True
-        tokens = run.left + READ_PRICE_PART * run.own_tokens
+        tokens = run.remaining + PROMPT_PRICE_SHARE * run.own_tokens
         progress.answer.price += tokens / 1000 * model.cost
         left_s = max(request.end - env.now, 0.0)
         yield run.began | env.timeout(left_s) | self.died
         if not (run.began.triggered and run.began.value) or not self.alive:
             engine.cancel(run)
-            self._broken(cascade, instance, timed_out=not run.began.triggered)
-            return End.LOST
+            self._record_failure(
+                cascade, instance, timed_out=not run.began.triggered
+            )
+            return AttemptEnd.LOST
         head = AnswerHead(
             200,
             [],
             sealed=True,
             confidence=self._confidence(request, model),
         )
-        self._answered(instance, engine, head, sent_at)
-        is_first = not progress.answer.first_at
-        accepted = not is_first or self._accepts(cascade, head, progress)
+        self._apply_signals(instance, engine, head, sent_at)
+        is_first = not progress.answer.first_event_at
+        accepted = not is_first or self._accepts_answer(cascade, head, progress)
         cascade.record_lateness(
             Unsure(head.confidence or 0.0), env.now if is_first else 0.0
         )
@@ -379,14 +393,16 @@
             cascade.ask_larger(
                 instance.entry.id, Unsure(head.confidence or 0.0), left_s
             )
-            return End.UNSURE
+            return AttemptEnd.UNSURE
         if is_first:
-            progress.answer.first_at = env.now
+            progress.answer.first_event_at = env.now
         progress.answer.too_hard |= request.hardness > model.quality
-        end = yield from self._rest(request, progress, instance, engine, run)
+        end = yield from self._stream_rest(
+            request, progress, instance, engine, run
+        )
         return end
 
-    def _answered(
+    def _apply_signals(
         self,
         instance: UpstreamInstance,
         engine: Engine,
@@ -401,68 +417,70 @@
                 instance.entry, instance.signals, head, sent_at
             )
 
-    def _rest(
+    def _stream_rest(
         self,
-        request: Request,
+        request: CallerRequest,
         progress: _Progress,
         instance: UpstreamInstance,
         engine: Engine,
-        run: Run,
-    ) -> Generator[simpy.Event, Any, End]:
+        run: EngineRun,
+    ) -> Generator[simpy.Event, Any, AttemptEnd]:
         """Pass the rest of a stream on."""
         env, began = self.world.env, self.world.env.now
         left_s = max(request.end - env.now, 0.0)
         yield run.ended | env.timeout(left_s) | self.died
         answer = progress.answer
         answer.longest_gap_s = max(answer.longest_gap_s, run.longest_gap_s)
-        progress.made += run.made
-        events = max(run.made // engine.spec.event_tokens, 1)
+        progress.generated += run.generated
+        events = max(run.generated // engine.spec.event_tokens, 1)
         mean_s = (env.now - began) / events
         self.lateness.slowdown.paused(mean_s)
         if run.ended.triggered and run.ended.value and self.alive:
-            answer.whole = True
+            answer.complete = True
             self.lateness.slowdown.ended(mean_s)
             instance.succeeded()
-            return End.WHOLE
+            return AttemptEnd.COMPLETE
         engine.cancel(run)
         instance.failed(1.0)
-        return End.LOST
+        return AttemptEnd.LOST
 
-    def _accepts(
+    def _accepts_answer(
         self, cascade: Cascade, head: AnswerHead, progress: _Progress
     ) -> bool:
         if self.world.policy.first is not FirstModel.CASCADE:
             return True
         return cascade.accepts(head, len(progress.tried))
 
-    def _broken(
+    def _record_failure(
         self, cascade: Cascade, instance: UpstreamInstance, *, timed_out: bool
     ) -> None:
         result: Result = Broken("lost", timed_out=timed_out)
         cascade.record_lateness(result, 0.0)
         instance.failed(1.0)
 
-    def _goes_on(self, request: Request, progress: _Progress, end: End) -> bool:
+    def _should_retry(
+        self, request: CallerRequest, progress: _Progress, end: AttemptEnd
+    ) -> bool:
         """Whether another attempt is made."""
         left_s = request.end - self.world.env.now
-        if end is End.WHOLE or not self.alive or left_s < MIN_LEFT_S:
+        if end is AttemptEnd.COMPLETE or not self.alive or left_s < MIN_LEFT_S:
             return False
         match end:
-            case End.UNSURE:
+            case AttemptEnd.UNSURE:
                 # It took its retry as the answer was turned down.
                 return True
-            case End.UNREACHED:
+            case AttemptEnd.UNREACHED:
                 return progress.unreached < MAX_UNREACHED
-            case End.REPLACED:
+            case AttemptEnd.REPLACED:
                 return self.budgets.take()
         if len(progress.tried) >= request.traffic.attempts:
             return False
         return self.budgets.take()
 
-    def _confidence(self, request: Request, model: Model) -> float:
+    def _confidence(self, request: CallerRequest, model: Model) -> float:
         easier = model.quality - request.hardness
         mean = CONFIDENCE_AT_LIMIT + CONFIDENCE_SLOPE * easier
-        found = self.draw.gauss(mean, CONFIDENCE_SCATTER)
+        found = self.rng.gauss(mean, CONFIDENCE_SCATTER)
         return min(max(found, 0.0), 100.0)
 
 
--- a/lacewingdock/lab/simulation.py
+++ b/lacewingdock/lab/simulation.py
@@ -21,25 +21,25 @@
     Traffic,
 )
 from lacewingdock.lab.engine import Engine
-from lacewingdock.lab.policy import Choice, Policy
+from lacewingdock.lab.policy import InstanceChoice, Policy
 from lacewingdock.lab.results import Day, Outcome, Row
 from lacewingdock.lab.router import SERVICE, SimulatedRouter
-from lacewingdock.lab.world import Answer, Request
+from lacewingdock.lab.world import Answer, CallerRequest
 from lacewingdock.world.backend import UpstreamEntry
 
 # How old what routers tell each other of their work is, in the mean.
-TOLD_EVERY_S: Final = 0.1
+GOSSIP_INTERVAL_S: Final = 0.1
 # How often a router takes its part of the retries anew.
 TICK_S: Final = 1.0
 # What a refused caller waits at most, as a part of the time it has left.
-WAIT_PART: Final = 1 / 3
+RETRY_WAIT_SHARE: Final = 1 / 3
 # Time after which a caller tries another router, where one does not answer.
-CONNECT_S: Final = 1.0
-CONNECT_LOOK_S: Final = 0.05
+CONNECT_TIMEOUT_S: Final = 1.0
+CONNECT_POLL_S: Final = 0.05
 # Credit of an answer by a model that the request was too hard for.
-TOO_HARD_PART: Final = 0.05
+TOO_HARD_CREDIT_SHARE: Final = 0.05
 # After the last request: the longest answers end.
-SETTLE_S: Final = 30.0
+DRAIN_S: Final = 30.0
 
 Steps = Generator[simpy.Event, Any, None]
 
@@ -78,13 +78,13 @@
         self.cold_most = 0
         self.limited_most = 0
         self.unwanted = 0
-        self._draw = random.Random(seed)
+        self._rng = random.Random(seed)
         self._domains: dict[str, str] = {}
-        self._coming: Counter[str] = Counter()
-        self._numbers = itertools.count()
+        self._in_flight: Counter[str] = Counter()
+        self._ids = itertools.count()
         self._cordoned: set[str] = set()
-        self._factor = 1.0
-        self._told: dict[str, Counter[int]] = {}
+        self._rate_factor = 1.0
+        self._reported_running: dict[str, Counter[int]] = {}
 
     def run(self) -> Day:
         """Play the day."""
@@ -95,13 +95,13 @@
                 self._start_engine(host, cold=False, listed_after_s=0.0)
             for number in range(self.deployment.routers):
                 self._start_router(f"{domain}-r{number}", domain)
-        self.env.process(self._tell())
+        self.env.process(self._gossip_load())
         self.env.process(self._tick())
         for traffic in self.deployment.traffic:
-            self.env.process(self._callers(traffic))
+            self.env.process(self._generate_requests(traffic))
         for fault in self.deployment.faults:
-            self.env.process(self._fault(fault))
-        self.env.run(self.deployment.seconds + SETTLE_S)
+            self.env.process(self._inject_fault(fault))
+        self.env.run(self.deployment.seconds + DRAIN_S)
         self._count_cold(self.engines.values())
         return Day(
             self.policy.name,
@@ -122,28 +122,30 @@
         if engine is None:
             return None
         running = len(engine.running) + len(engine.waiting)
-        return Load(0, running + self._coming[host], engine.unread)
+        return Load(0, running + self._in_flight[host], engine.unread)
 
-    def promised(self, host: str, count: int) -> None:
+    def add_in_flight(self, host: str, count: int) -> None:
         """Count requests that are on their way to an address."""
-        self._coming[host] = max(self._coming[host] + count, 0)
+        self._in_flight[host] = max(self._in_flight[host] + count, 0)
 
-    def way_s(self, domain: str, other: str) -> float:
+    def delay_s(self, domain: str, other: str) -> float:
         """Return the delay between two failure domains, one way."""
         links = self.deployment.links
-        way_ms = links.within_ms if domain == other else links.between_ms
-        return way_ms / 1000
+        delay_ms = links.within_ms if domain == other else links.between_ms
+        return delay_ms / 1000
 
     def _start_engine(
         self, host: str, *, cold: bool, listed_after_s: float
     ) -> None:
         spec, now = self.deployment.engines, self.env.now
-        name = f"{host}.{next(self._numbers)}"
+        name = f"{host}.{next(self._ids)}"
         cold_until = now + spec.cold_s if cold else 0.0
         self.engines[host] = Engine(self.env, spec, name, cold_until)
-        self.env.process(self._list(host, name, cold_until, listed_after_s))
+        self.env.process(
+            self._add_entry(host, name, cold_until, listed_after_s)
+        )
 
-    def _list(
+    def _add_entry(
         self, host: str, name: str, cold_until: float, after_s: float
     ) -> Steps:
         """Have the routers see an engine's entry."""
@@ -161,7 +163,7 @@
             version="v1",
             slots=self.deployment.engines.slots,
             cold_left_s=left_s,
-            created=next(self._numbers),
+            created=next(self._ids),
         )
         self.entries[name] = entry
         for router in self.routers.values():
@@ -174,9 +176,9 @@
         self._count_cold([engine])
         engine.lose_power()
         self.engines[host] = None
-        self.env.process(self._unlist(engine.name))
+        self.env.process(self._expire_entry(engine.name))
 
-    def _unlist(self, name: str) -> Steps:
+    def _expire_entry(self, name: str) -> Steps:
         """Have an entry run out."""
         yield self.env.timeout(self.deployment.links.entry_stays_s)
         if self.entries.pop(name, None) is None:
@@ -196,16 +198,18 @@
 
     def _others(self, name: str, mark: int) -> Work:
         """Return what other routers have at an engine, as told lately."""
-        if self.policy.choice is Choice.RANDOM:
+        if self.policy.choice is InstanceChoice.RANDOM:
             return NO_WORK
         running = sum(
-            told[mark] for other, told in self._told.items() if other != name
+            running_by_mark[mark]
+            for other, running_by_mark in self._reported_running.items()
+            if other != name
         )
         return Work(running)
 
-    def _tell(self) -> Steps:
+    def _gossip_load(self) -> Steps:
         while True:
-            self._told = {
+            self._reported_running = {
                 name: Counter(
                     {
                         one.mark: one.running
@@ -216,10 +220,10 @@
                 for name, router in self.routers.items()
                 if router.alive
             }
-            self._tell_limits()
-            yield self.env.timeout(TOLD_EVERY_S)
+            self._gossip_limits()
+            yield self.env.timeout(GOSSIP_INTERVAL_S)
 
-    def _tell_limits(self) -> None:
+    def _gossip_limits(self) -> None:
         for name, router in self.routers.items():
             limits = limit_rows(router.directory)
             if not limits:
@@ -236,72 +240,82 @@
             for router in self.routers.values():
                 router.tick(bounds)
 
-    def _callers(self, traffic: Traffic) -> Steps:
+    def _generate_requests(self, traffic: Traffic) -> Steps:
         """Have requests of a route come."""
-        draw = random.Random(f"{self.seed}/{traffic.name}")
+        rng = random.Random(f"{self.seed}/{traffic.name}")
         while True:
             yield self.env.timeout(
-                draw.expovariate(traffic.per_s * self._factor)
+                rng.expovariate(traffic.per_s * self._rate_factor)
             )
             if self.env.now >= self.deployment.seconds:
                 return
-            request = Request(
-                call=f"c-{next(self._numbers)}",
+            request = CallerRequest(
+                call=f"c-{next(self._ids)}",
                 traffic=traffic,
-                subject=f"{traffic.name}-{draw.randrange(traffic.subjects)}",
-                tokens_in=_tokens(draw, traffic.tokens_in),
-                tokens_out=_tokens(draw, traffic.tokens_out),
-                hardness=draw.random(),
+                subject=f"{traffic.name}-{rng.randrange(traffic.subjects)}",
+                tokens_in=_tokens(rng, traffic.tokens_in),
+                tokens_out=_tokens(rng, traffic.tokens_out),
+                hardness=rng.random(),
                 end=self.env.now + traffic.timeout_s,
             )
-            self.env.process(self._caller(request, draw.random()))
+            self.env.process(self._send_request(request, rng.random()))
 
-    def _caller(self, request: Request, where: float) -> Steps:
+    def _send_request(
+        self, request: CallerRequest, router_draw: float
+    ) -> Steps:
         """Send a request, and again where it was refused."""
         began, price = self.env.now, 0.0
         names = sorted(self.routers)
         answer = Answer()
         for number in range(request.traffic.retries + 1):
             # Callers are spread unevenly, and come back to another router.
-            at = (int(where * where * len(names)) + 7 * number) % len(names)
-            router = yield from self._connect(names[at])
+            index = (
+                int(router_draw * router_draw * len(names)) + 7 * number
+            ) % len(names)
+            router = yield from self._connect(names[index])
             if router is None:
                 continue
             answer = yield self.env.process(router.serve(request))
             price += answer.price
-            if answer.whole or (answer.after_s is None and router.alive):
+            if answer.complete or (answer.after_s is None and router.alive):
                 break
             left_s = request.end - self.env.now
-            wait_s = min(answer.after_s or 0.0, left_s * WAIT_PART)
+            wait_s = min(answer.after_s or 0.0, left_s * RETRY_WAIT_SHARE)
             yield self.env.timeout(max(wait_s, 0.0))
-        self._end(request, began, answer, price)
+        self._record_outcome(request, began, answer, price)
 
     def _connect(
         self, name: str
     ) -> Generator[simpy.Event, Any, SimulatedRouter | None]:
         """Return a router once it takes the connection; None if it does not."""
         # The port is open long before the router answers.
-        by = self.env.now + CONNECT_S + self.deployment.start_s
+        deadline = self.env.now + CONNECT_TIMEOUT_S + self.deployment.start_s
         yield self.env.timeout(self.deployment.links.callers_ms / 1000)
         while not self.routers[name].alive:
-            if self.env.now >= by:
+            if self.env.now >= deadline:
                 return None
-            yield self.env.timeout(CONNECT_LOOK_S)
+            yield self.env.timeout(CONNECT_POLL_S)
         return self.routers[name]
 
-    def _end(
-        self, request: Request, began: float, answer: Answer, price: float
+    def _record_outcome(
+        self,
+        request: CallerRequest,
+        began: float,
+        answer: Answer,
+        price: float,
     ) -> None:
         traffic = request.traffic
-        first_s = answer.first_at - began if answer.first_at else math.inf
+        first_s = (
+            answer.first_event_at - began if answer.first_event_at else math.inf
+        )
         credit, outcome = 0.0, Outcome.FAILED
-        if answer.whole:
+        if answer.complete:
             is_late = (
                 first_s > traffic.goal_s or answer.longest_gap_s > traffic.gap_s
             )
             outcome = Outcome.LATE if is_late else Outcome.ON_TIME
             credit = traffic.late_worth if is_late else traffic.worth
-            credit *= TOO_HARD_PART if answer.too_hard else 1.0
+            credit *= TOO_HARD_CREDIT_SHARE if answer.too_hard else 1.0
         elif answer.after_s is not None:
             outcome = Outcome.REFUSED
         self.rows.append(
@@ -316,16 +330,18 @@
             )
         )
 
-    def _fault(self, fault: Fault) -> Steps:
+    def _inject_fault(self, fault: Fault) -> Steps:
         """Have something go wrong, and end."""
         yield self.env.timeout(fault.at_s)
         match fault.kind:
             case FaultKind.BURST:
-                self._factor *= fault.factor
+                self._rate_factor *= fault.factor
                 yield self.env.timeout(fault.for_s)
-                self._factor /= fault.factor
+                self._rate_factor /= fault.factor
             case FaultKind.ENGINES_LOST:
-                yield from self._engines_lost(self._some(fault), fault.for_s)
+                yield from self._engines_lost(
+                    self._sample_hosts(fault), fault.for_s
+                )
             case FaultKind.ROUTERS_LOST:
                 yield from self._routers_lost(fault.for_s)
             case FaultKind.ALL_LOST:
@@ -342,10 +358,10 @@
             case FaultKind.ENGINES_LEAVING:
                 yield from self._engines_leaving(fault)
 
-    def _some(self, fault: Fault) -> list[str]:
+    def _sample_hosts(self, fault: Fault) -> list[str]:
         hosts = sorted(self.engines)
         count = round(fault.share * len(hosts))
-        return self._draw.sample(hosts, count)
+        return self._rng.sample(hosts, count)
 
     def _engines_lost(self, hosts: list[str], for_s: float) -> Steps:
         for host in hosts:
@@ -356,7 +372,7 @@
             self._start_engine(host, cold=True, listed_after_s=late_s)
 
     def _engines_limited(self, fault: Fault) -> Steps:
-        found = [self.engines[host] for host in self._some(fault)]
+        found = [self.engines[host] for host in self._sample_hosts(fault)]
         for engine in found:
             if engine is not None:
                 engine.limit_per_s = fault.per_s
@@ -365,10 +381,10 @@
         for engine in found:
             if engine is not None:
                 engine.limit_per_s = None
-                self.limited_most = max(self.limited_most, engine.limited.most)
+                self.limited_most = max(self.limited_most, engine.limited.peak)
 
     def _engines_resting(self, fault: Fault) -> Steps:
-        found = [self.engines[host] for host in self._some(fault)]
+        found = [self.engines[host] for host in self._sample_hosts(fault)]
         for engine in found:
             if engine is not None:
                 engine.rest_s = fault.rest_s
@@ -379,7 +395,7 @@
                 self.unwanted += engine.unwanted
 
     def _engines_leaving(self, fault: Fault) -> Steps:
-        hosts = self._some(fault)
+        hosts = self._sample_hosts(fault)
         for host in hosts:
             if (engine := self.engines[host]) is not None:
                 engine.leaving = True
@@ -414,13 +430,13 @@
     def _count_cold(self, engines: Any) -> None:
         for engine in engines:
             if engine is not None:
-                self.cold_most = max(self.cold_most, engine.cold.most)
+                self.cold_most = max(self.cold_most, engine.cold.peak)
 
 
-def _tokens(draw: random.Random, spread: Spread) -> int:
+def _tokens(rng: random.Random, spread: Spread) -> int:
     """Draw a number of tokens, one at least."""
     mu = math.log(spread.mean) - spread.sigma**2 / 2
-    return max(round(draw.lognormvariate(mu, spread.sigma)), 1)
+    return max(round(rng.lognormvariate(mu, spread.sigma)), 1)
 
 
 def play(deployment: Deployment, policy: Policy, seed: int) -> Day:
--- a/lacewingdock/lab/world.py
+++ b/lacewingdock/lab/world.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Request:
+class CallerRequest:
     """A request as its caller sends it.
 
     Attributes:
@@ -66,8 +66,8 @@
         price: Price of all answers, dropped ones too.
     """
 
-    whole: bool = False
-    first_at: float = 0.0
+    complete: bool = False
+    first_event_at: float = 0.0
     longest_gap_s: float = 0.0
     too_hard: bool = False
     after_s: float | None = None
@@ -88,14 +88,14 @@
     def load_at(self, host: str) -> Load | None:
         """Return what a sidecar says; None where it does not answer."""
 
-    def promised(self, host: str, count: int) -> None:
+    def add_in_flight(self, host: str, count: int) -> None:
         """Count requests that are on their way to an address."""
 
-    def way_s(self, domain: str, other: str) -> float:
+    def delay_s(self, domain: str, other: str) -> float:
         """Return the delay between two failure domains, one way."""
 
 
-class AskedLoads:
+class SimulatedProber:
     """Stands in for `Prober`: sidecars answer at once."""
 
     __slots__ = ("world",)
@@ -112,4 +112,4 @@
     def announce(self, host: str, request: str, unread: float) -> None:
         """Tell of a request that is about to come."""
         del request, unread
-        self.world.promised(host, 1)
+        self.world.add_in_flight(host, 1)
--- a/tests/components/billing/test_billing_machine.py
+++ b/tests/components/billing/test_billing_machine.py
@@ -162,11 +162,11 @@
 
     @rule(
         entry=st.sampled_from(ENTRIES),
-        fates=st.lists(st.sampled_from(FATES), max_size=2),
+        write_outcomes=st.lists(st.sampled_from(FATES), max_size=2),
         rounds=st.integers(1, 3),
         told=st.booleans(),
     )
-    def flush(self, entry, fates, rounds, told):
+    def flush(self, entry, write_outcomes, rounds, told):
         """Let an entry take what is on the way and write, more than once.
 
         Without being told of it, sidecars offer again what is kept.
@@ -175,10 +175,10 @@
             self.deliver(entry, sidecar, kept=False)
         if entry in self.frozen:
             return
-        self.store.fates.extend(fates)
+        self.store.write_outcomes.extend(write_outcomes)
         for _ in range(rounds):
             self.entries[entry].flush()
-        self.store.fates.clear()
+        self.store.write_outcomes.clear()
         for sidecar in SIDECARS if told else ():
             self.deliver(entry, sidecar)
 
@@ -197,7 +197,7 @@
     def late_write_arrives(self):
         """Let a write arrive that was given up."""
         if self.store.late:
-            self.store.arrive()
+            self.store.apply_late_write()
 
     @rule(entry=st.sampled_from(ENTRIES))
     def outage(self, entry):
@@ -300,7 +300,7 @@
             for entry in ENTRIES:
                 self.entries[entry].flush()
         while self.store.late:
-            self.store.arrive()
+            self.store.apply_late_write()
         rows = ledger_rows(self.store)
         self.none_twice()
         missing = set(self.billed) - set(rows) - self.excused
--- a/tests/components/budgets/test_allowance.py
+++ b/tests/components/budgets/test_allowance.py
@@ -47,13 +47,13 @@
     )
     def begin(self, entry, amount, fate):
         """Let a request in, or refuse it."""
-        self.store.fates.append(fate)
+        self.store.write_outcomes.append(fate)
         try:
             self.entries[entry].reserve(amount, BUDGET)
             self.open.append((self.entries[entry], amount))
         except LacewingdockError:
             pass
-        self.store.fates.clear()
+        self.store.write_outcomes.clear()
 
     @rule(part=st.sampled_from([0.0, 0.5, 1.0, 1.5]))
     def end(self, part):
@@ -71,12 +71,12 @@
     )
     def give_back(self, entry, fate):
         """Return what is left."""
-        self.store.fates.append(fate)
+        self.store.write_outcomes.append(fate)
         try:
             self.entries[entry].give_back()
         except LacewingdockError as error:
             assert error.kind is ErrorKind.PLATFORM_UNAVAILABLE
-        self.store.fates.clear()
+        self.store.write_outcomes.clear()
 
     @rule(entry=st.sampled_from(ENTRIES))
     def kill(self, entry):
@@ -88,7 +88,7 @@
         """Let time pass and late writes arrive."""
         self.now += wait
         while self.store.late:
-            self.store.arrive()
+            self.store.apply_late_write()
 
     @invariant()
     def bounded(self):
--- a/tests/components/configuration/test_apply.py
+++ b/tests/components/configuration/test_apply.py
@@ -32,7 +32,7 @@
 
 
 def states(store):
-    objects = store.present(COLLECTION_CONFIG).objects
+    objects = store.current_listing(COLLECTION_CONFIG).objects
     return {o.name.partition("/")[2]: o.value["state"] for o in objects}
 
 
--- a/tests/components/configuration/test_configuration.py
+++ b/tests/components/configuration/test_configuration.py
@@ -14,7 +14,7 @@
     FakeNode,
     FakeStore,
     connect,
-    settle,
+    deliver_until_idle,
     write,
 )
 
@@ -72,11 +72,11 @@
     late.config.step()
     for _, peer in sorted(peers, key=lambda pair: pair[0]):
         connect(late, peer)
-        settle([late, peer])
+        deliver_until_idle([late, peer])
         clock.now += 1
     for _, peer in peers:
         peer.beat()
-    settle([late, *(peer for _, peer in peers)])
+    deliver_until_idle([late, *(peer for _, peer in peers)])
     assert late.config.loaded.is_set() == loaded
     if loaded:
         assert late.config.revision == max(shown)
@@ -98,7 +98,7 @@
         for sidecar in sidecars:
             connect(entry, sidecar)
     nodes = entries + sidecars
-    settle(nodes)
+    deliver_until_idle(nodes)
     assert not any(node.config.loaded.is_set() for node in nodes)
     store.down = False
     for node in nodes:
@@ -124,7 +124,7 @@
         connect(entry, stale)
         connect(entry, late)
     for _ in range(3):
-        settle([stale, one, two, late])
+        deliver_until_idle([stale, one, two, late])
         clock.now += 1
         for node in (stale, one, two, late):
             node.beat()
@@ -209,14 +209,14 @@
     for sidecar in sidecars:
         connect(entry, sidecar)
     nodes = [entry, *sidecars]
-    settle(nodes)
+    deliver_until_idle(nodes)
     write(store, "version/a", WITHDRAWN)
     entry.config.step()
     sent = [m for s in sidecars for link in s.peers.links for m in link.inbox]
     assert [type(m) for m in sent] == [Delta] * FANOUT
-    settle(nodes)
+    deliver_until_idle(nodes)
     entry.beat()
-    settle(nodes)
+    deliver_until_idle(nodes)
     assert not any(node.config.world.offered("a") for node in nodes)
 
 
@@ -241,7 +241,7 @@
         if isinstance(message, Pull)
     ]
     assert len(pulls) == 1
-    settle([late, *entries])
+    deliver_until_idle([late, *entries])
     assert late.config.revision == 2
 
 
@@ -258,10 +258,10 @@
     connect(frozen, late)
     late.deliver_all()
     connect(healthy, late)
-    settle([late, healthy])
+    deliver_until_idle([late, healthy])
     clock.now += 1
     healthy.beat()
-    settle([late, healthy])
+    deliver_until_idle([late, healthy])
     assert late.config.revision == 2
 
 
@@ -288,13 +288,13 @@
     (entry,) = started(store, 1, ROLE_ENTRY)
     for node in late:
         connect(entry, node)
-        settle([entry, node])
+        deliver_until_idle([entry, node])
     answers = entry.daemon.spawned
     assert len(answers) == len(late)
     assert entry.config._answering._initial_value < len(late)
     for function, arguments in answers:
         function(*arguments)
-    settle([entry, *late])
+    deliver_until_idle([entry, *late])
     assert {node.config.revision for node in late} == {store.revision}
 
 
--- a/tests/components/configuration/test_fleet.py
+++ b/tests/components/configuration/test_fleet.py
@@ -18,8 +18,8 @@
     FakeNode,
     FakeStore,
     connect,
+    deliver_until_idle,
     disconnect,
-    settle,
     write,
 )
 
@@ -48,7 +48,7 @@
         self.cut_off = set()
         self.nodes = []
         self.floor = {}
-        self.before = self.store.present(COLLECTION_CONFIG)
+        self.before = self.store.current_listing(COLLECTION_CONFIG)
 
     @initialize()
     def start(self):
@@ -131,7 +131,9 @@
     @rule()
     def remember_listing(self):
         """Keep a listing that will be old by and by."""
-        self.before = copy.deepcopy(self.store.present(COLLECTION_CONFIG))
+        self.before = copy.deepcopy(
+            self.store.current_listing(COLLECTION_CONFIG)
+        )
 
     @rule()
     def next_list_is_old(self):
@@ -177,9 +179,9 @@
             for node in self.nodes:
                 node.config.step()
                 node.beat()
-            settle(self.nodes)
+            deliver_until_idle(self.nodes)
         linked = [n for n in self.nodes if n.peers.links or n is self.nodes[0]]
-        want = self.store.present(COLLECTION_CONFIG)
+        want = self.store.current_listing(COLLECTION_CONFIG)
         states = {o.name: (o.value or {}).get("state") for o in want.objects}
         for node in linked:
             assert node.config.loaded.is_set()
--- a/tests/components/exposure/test_fleet.py
+++ b/tests/components/exposure/test_fleet.py
@@ -229,11 +229,11 @@
                 seen += 1
             case "publish" | "lost" | "dropped" | "late":
                 if event != "publish":
-                    fleet.store.fates.append(event)
+                    fleet.store.write_outcomes.append(event)
                 fleet.entries[0].publish_all()
-                fleet.store.fates.clear()
+                fleet.store.write_outcomes.clear()
             case "arrive" if fleet.store.late:
-                fleet.store.arrive()
+                fleet.store.apply_late_write()
             case "restart":
                 fleet.store.late.clear()
                 base = seen = fleet.seen().answered
--- a/tests/components/pacing/limited_fleet.py
+++ b/tests/components/pacing/limited_fleet.py
@@ -66,7 +66,7 @@
             self.directory.apply(entry(one, host=f"10.0.0.{len(one)}"))
         # The limited instance always looks idle in comparison.
         self.directory.instances[OTHER].running = 1000
-        self.chooser = Chooser(self.directory, "a", fleet.draw)
+        self.chooser = Chooser(self.directory, "a", fleet.rng)
         self.chooser.pacer = Pacer(
             name,
             lambda: [one for one in fleet.known_to(name) if one != name],
@@ -88,7 +88,9 @@
                 self.chooser.done(chosen)
             return
         sent_at = self.fleet.now()
-        self.fleet.after(self.fleet.way(MAX_TRANSIT_S), self.deliver, sent_at)
+        self.fleet.after(
+            self.fleet.random_delay(MAX_TRANSIT_S), self.deliver, sent_at
+        )
 
     def compose_message(self, number):
         """Return a gossip message with its limits; None if it has none."""
@@ -108,7 +110,11 @@
         fleet.arrivals.append((fleet.now(), self.name))
         head = AnswerHead(200, [], sealed=True, limit_per_s=limit)
         fleet.after(
-            fleet.way(MAX_RETURN_S), self.answered, head, sent_at, fleet.ends
+            fleet.random_delay(MAX_RETURN_S),
+            self.answered,
+            head,
+            sent_at,
+            fleet.ends,
         )
 
     def answered(self, head, sent_at, ends):
@@ -169,13 +175,13 @@
         part = names[: max(2 * count // 3, 1)]
         few = names[: max(9 * count // 10, 1)]
         views = {"all": [names], "part": [names, part], "few": [names, few]}
-        self._known = {name: self.draw.choice(views[view]) for name in names}
+        self._known = {name: self.rng.choice(views[view]) for name in names}
         self.routers = {name: Router(self, name) for name in names}
         for name in names:
-            self.after(self.draw.uniform(0.0, every_s), self._offer, name)
+            self.after(self.rng.uniform(0.0, every_s), self._offer, name)
             if lost < 1.0:
                 self.after(
-                    self.draw.uniform(0.0, GOSSIP_INTERVAL_S),
+                    self.rng.uniform(0.0, GOSSIP_INTERVAL_S),
                     self._gossip,
                     name,
                 )
@@ -256,10 +262,10 @@
         data = self.routers[name].compose_message(len(self.arrivals))
         if data is None:
             return
-        for other in self.draw.choices(list(self.routers), k=GOSSIP_RECIPIENTS):
-            if other != name and self.draw.random() >= self.lost:
+        for other in self.rng.choices(list(self.routers), k=GOSSIP_RECIPIENTS):
+            if other != name and self.rng.random() >= self.lost:
                 # Some messages arrive late.
-                way_s = self.draw.choice([0.001, 0.01, 2.0])
+                way_s = self.rng.choice([0.001, 0.01, 2.0])
                 self.after(way_s, self._receive, other, data)
 
     def _receive(self, name, data):
--- a/tests/components/pacing/test_named_limits.py
+++ b/tests/components/pacing/test_named_limits.py
@@ -266,6 +266,6 @@
     for seed in range(10):
         fleet = Fleet(count, limits, seed)
         for name in fleet.routers if restarts else ():
-            at = fleet.draw.uniform(3.0, 20.0)
+            at = fleet.rng.uniform(3.0, 20.0)
             fleet.after(at, fleet.restart, name)
         assert fleet.run(32.0) <= 0
--- a/tests/components/story/test_story.py
+++ b/tests/components/story/test_story.py
@@ -6,8 +6,8 @@
 
 from lacewingdock.components.story import (
     list_requests,
-    read_lines,
-    tell_request,
+    parse_lines,
+    trace_request,
 )
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 
@@ -52,7 +52,7 @@
 
 
 def test_story_has_the_request_and_what_its_router_believed():
-    told = tell_request(read_lines(LINES), "c-1").split("\n")
+    told = trace_request(parse_lines(LINES), "c-1").split("\n")
     assert [one[:2] + one.split()[-1] for one in told] == [
         "  version=7",
         "  leaving=True",
@@ -72,7 +72,7 @@
         line(9.1, "limit", upstream="i-2", service="other", per_s=3.0),
         line(9.5, "request", request="c-1", service="svc", outcome="refused"),
     ]
-    told = tell_request(read_lines(lines), "c-1").split("\n")
+    told = trace_request(parse_lines(lines), "c-1").split("\n")
     assert [one.split()[-1] for one in told] == [
         "per_s=2.0",
         "outcome=refused",
@@ -81,7 +81,7 @@
 
 def test_unknown_request_is_a_coded_error():
     with pytest.raises(LacewingdockError) as caught:
-        tell_request(read_lines(LINES), "c-9")
+        trace_request(parse_lines(LINES), "c-9")
     assert caught.value.kind is ErrorKind.NOT_FOUND
 
 
@@ -96,5 +96,5 @@
     ],
 )
 def test_requests_of_a_workspace(workspace, since, until, found):
-    text = list_requests(read_lines(LINES), workspace, since, until)
+    text = list_requests(parse_lines(LINES), workspace, since, until)
     assert [one for one in ("c-2", "c-1") if f"request={one}" in text] == found
--- a/tests/components/upstreams/signalling_fleet.py
+++ b/tests/components/upstreams/signalling_fleet.py
@@ -120,7 +120,7 @@
         self.directory = Directory(fleet)
         for one in fleet.instances.values():
             self.apply(one)
-        self.chooser = Chooser(self.directory, "a", fleet.draw)
+        self.chooser = Chooser(self.directory, "a", fleet.rng)
         self.chooser.pacer = Pacer(
             name,
             lambda: [one for one in fleet.routers if one != name],
@@ -143,7 +143,7 @@
             left_s = self.frozen_until - self.fleet.now()
             if left_s > 0:
                 # Calls that came due while frozen run in random order.
-                self.later(left_s + self.fleet.way(0.05), call, *args)
+                self.later(left_s + self.fleet.random_delay(0.05), call, *args)
             else:
                 call(*args)
 
@@ -175,7 +175,9 @@
     def send(self, instance, sent_at):
         """Send a request over an idle or a new connection."""
         placed_at = self.fleet.now()
-        connect_s = self.fleet.draw.choice([0.0, self.fleet.way(CONNECT_S)])
+        connect_s = self.fleet.rng.choice(
+            [0.0, self.fleet.random_delay(CONNECT_S)]
+        )
         self.later(connect_s, self.write, instance, sent_at, placed_at)
 
     def write(self, instance, sent_at, placed_at):
@@ -185,7 +187,7 @@
             self.offer(sent_at)
             return
         self.fleet.after(
-            self.fleet.way(WAY_S),
+            self.fleet.random_delay(WAY_S),
             self.fleet.arrives,
             self,
             instance,
@@ -246,7 +248,7 @@
         self.routers = {f"r-{number}": None for number in range(count)}
         for name in self.routers:
             self.routers[name] = Router(self, name, 0)
-            self.after(self.draw.uniform(0.0, every_s), self._offer, name)
+            self.after(self.rng.uniform(0.0, every_s), self._offer, name)
 
     def run(self, until):
         """Run the simulation until a time."""
@@ -262,10 +264,10 @@
             )
         )
         head = self.instances[name].head(self.time)
-        run_s = 0.0 if head.not_run else self.way(RUN_S)
+        run_s = 0.0 if head.not_run else self.random_delay(RUN_S)
         left_at = self.time + run_s
         router.later(
-            run_s + self.way(BACK_S),
+            run_s + self.random_delay(BACK_S),
             router.answered,
             instance,
             head,
--- a/tests/components/upstreams/test_leaving.py
+++ b/tests/components/upstreams/test_leaving.py
@@ -132,11 +132,11 @@
         ]
         fleet = Fleet(count, instances, seed, every_s)
         # A restarted router has to get the announcement again.
-        names = fleet.draw.choices(list(fleet.routers), k=6 if seed else 0)
+        names = fleet.rng.choices(list(fleet.routers), k=6 if seed else 0)
         for number, name in enumerate(names):
             call = (fleet.restart, fleet.freeze)[number % 2]
             args = (name, 1.5)[: 1 + number % 2]
-            fleet.after(fleet.draw.uniform(1.0, 12.0), call, *args)
+            fleet.after(fleet.rng.uniform(1.0, 12.0), call, *args)
         fleet.run(14.0)
         assert fleet.latest_after_leaving() <= 0.0
         assert fleet.count_arrivals("a", 0.0, 3.0) > 0
--- a/tests/components/upstreams/test_resting.py
+++ b/tests/components/upstreams/test_resting.py
@@ -159,11 +159,11 @@
     every_s = max(0.05, count / 600)
     for seed in range(2 if count < 300 else 1):
         fleet = Fleet(count, shedding(*sheds), seed, every_s)
-        names = fleet.draw.choices(list(fleet.routers), k=0 if seed else 8)
+        names = fleet.rng.choices(list(fleet.routers), k=0 if seed else 8)
         for number, name in enumerate(names):
             call = (fleet.restart, fleet.freeze)[number % 2]
             args = (name, 1.5)[: 1 + number % 2]
-            fleet.after(fleet.draw.uniform(1.0, 12.0), call, *args)
+            fleet.after(fleet.rng.uniform(1.0, 12.0), call, *args)
         fleet.run(16.0)
         assert fleet.max_requests_in_rest() <= ALLOWED
         assert fleet.count_arrivals("b", 3.0, 8.0) > 0
@@ -174,9 +174,9 @@
     fleet = Fleet(4, shedding(), seed)
     at, sheds = 1.0, fleet.instances["a"].sheds
     while at < 25.0:
-        until = at + fleet.draw.choice([0.05, 0.5, 3.0])
-        sheds.append((at, until, fleet.draw.choice([0.55, 0.8, 1.5, 4.0])))
-        at = until + fleet.draw.choice([0.0, 0.3, 2.0])
+        until = at + fleet.rng.choice([0.05, 0.5, 3.0])
+        sheds.append((at, until, fleet.rng.choice([0.55, 0.8, 1.5, 4.0])))
+        at = until + fleet.rng.choice([0.0, 0.3, 2.0])
     fleet.run(30.0)
     assert fleet.max_requests_in_rest() <= ALLOWED
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -42,7 +42,7 @@
         self.revision = 0
         self.down = False
         self.lose_answers = 0
-        self.fates: deque[str] = deque()
+        self.write_outcomes: deque[str] = deque()
         self.late: list[tuple[str, str, Any, int, str]] = []
         self.calls: dict[str, int] = {}
         self.on_call: Callable[[], None] | None = None
@@ -74,9 +74,9 @@
         if self.old is not None:
             listing, self.old = self.old, None
             return listing
-        return self.present(collection, prefix, after)
+        return self.current_listing(collection, prefix, after)
 
-    def present(
+    def current_listing(
         self, collection: str, prefix: str = "", after: int = -1
     ) -> Listing:
         """Return what a list shows now."""
@@ -105,18 +105,18 @@
         self._enter(purpose)
         # As the real client does: what can't be encoded must fail here too.
         value = msgspec.json.decode(msgspec.json.encode(value))
-        fate = self.fates.popleft() if self.fates else "ok"
-        if fate == "late":
+        outcome = self.write_outcomes.popleft() if self.write_outcomes else "ok"
+        if outcome == "late":
             self.late.append((collection, name, value, expect, writer))
-        if fate in ("dropped", "late"):
-            raise _unknown()
+        if outcome in ("dropped", "late"):
+            raise _answer_lost()
         stored = self._apply(collection, name, value, expect, writer)
-        if self.lose_answers > 0 or fate == "lost":
-            self.lose_answers -= fate != "lost"
-            raise _unknown()
+        if self.lose_answers > 0 or outcome == "lost":
+            self.lose_answers -= outcome != "lost"
+            raise _answer_lost()
         return copy.deepcopy(stored)
 
-    def arrive(self) -> None:
+    def apply_late_write(self) -> None:
         """Let the oldest late write reach the platform."""
         with contextlib.suppress(LacewingdockError):
             self._apply(*self.late.pop(0))
@@ -125,11 +125,11 @@
         self, collection: str, name: str, value: Any, expect: int, writer: str
     ) -> Stored:
         objects = self.objects.setdefault(collection, {})
-        known = objects.get(name, Stored(name, 0))
-        if known.revision != expect:
+        current = objects.get(name, Stored(name, 0))
+        if current.revision != expect:
             raise LacewingdockError(
                 ErrorKind.CONFLICT,
-                f"{collection}/{name}: revision is {known.revision}",
+                f"{collection}/{name}: revision is {current.revision}",
             )
         self.revision += 1
         stored = Stored(name, self.revision, value, writer)
@@ -138,7 +138,7 @@
         return stored
 
 
-def _unknown() -> LacewingdockError:
+def _answer_lost() -> LacewingdockError:
     return LacewingdockError(
         ErrorKind.PLATFORM_UNAVAILABLE, "answer lost", ran="unknown"
     )
@@ -281,7 +281,7 @@
             one.peers.closed(link)
 
 
-def settle(nodes: list[FakeNode]) -> None:
+def deliver_until_idle(nodes: list[FakeNode]) -> None:
     """Deliver until nothing is on its way."""
     while any([node.deliver_all() for node in nodes]):
         pass
@@ -289,6 +289,6 @@
 
 def write(store: FakeStore, name: str, value: Any) -> int:
     """Write a configuration item over what it is; return its revision."""
-    known = store.objects.get(COLLECTION_CONFIG, {}).get(name)
-    expect = known.revision if known else 0
+    current = store.objects.get(COLLECTION_CONFIG, {}).get(name)
+    expect = current.revision if current else 0
     return store.put(COLLECTION_CONFIG, name, value, expect).revision
--- a/tests/helpers/test_append_log.py
+++ b/tests/helpers/test_append_log.py
@@ -52,13 +52,13 @@
 def test_a_write_without_answer_is_in_once(fate, arrives):
     store = FakeStore()
     log = open_log(store)
-    store.fates.append(fate)
+    store.write_outcomes.append(fate)
     append(log, "x", "y")
     if arrives == "before" and store.late:
-        store.arrive()
+        store.apply_late_write()
     append(log, "x", "y", "z")
     if arrives == "after" and store.late:
-        store.arrive()
+        store.apply_late_write()
     append(log, "z", "w")
     assert sorted(contents(store)) == ["w", "x", "y", "z"]
 
--- a/tests/lab/test_engine.py
+++ b/tests/lab/test_engine.py
@@ -4,7 +4,7 @@
 import simpy
 
 from lacewingdock.lab.deployment import Engines, Model
-from lacewingdock.lab.engine import Engine, Run
+from lacewingdock.lab.engine import Engine, EngineRun
 
 LARGE = Model("large", pace=1.0)
 
@@ -27,15 +27,15 @@
     return env, Engine(env, Engines(**fields), "e", 0.0)
 
 
-def run(env, call="c", *, own=1000, left=20, shared=0, priority=1):
+def run(env, call="c", *, own=1000, remaining=20, shared=0, priority=1):
     """Return a request."""
-    return Run(
+    return EngineRun(
         call,
         LARGE,
         "s",
         shared,
         own,
-        left,
+        remaining,
         priority,
         env.event(),
         env.event(),
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    ("own", "left", "began", "ended"),
+    ("own", "remaining", "began", "ended"),
     [
         # A step of 10 ms that reads 1,000 tokens, then one for each token.
         (1000, 20, 0.07, 0.22),
@@ -61,9 +61,9 @@
         (1000, 3, 0.05, 0.05),
     ],
 )
-def test_time_of_a_request_alone(own, left, began, ended):
+def test_time_of_a_request_alone(own, remaining, began, ended):
     env, one = engine()
-    request = run(env, own=own, left=left)
+    request = run(env, own=own, remaining=remaining)
     assert one.submit(request)
     assert times(env, request) == pytest.approx([began, ended], abs=0.011)
 
@@ -95,7 +95,7 @@
 def test_memory_holds_no_more_than_fits():
     env, one = engine(memory_tokens=2500, slots=8, queue=8)
     for number in range(4):
-        one.submit(run(env, str(number), own=1000, left=100))
+        one.submit(run(env, str(number), own=1000, remaining=100))
     env.run(0.2)
     assert sum(each.tokens for each in one.running) <= 2500
     assert len(one.waiting) == 2
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lacewingdock.lab.policy import POLICIES
-from lacewingdock.lab.results import Outcome, by_window, share
+from lacewingdock.lab.results import Outcome, by_window, credit_share
 from lacewingdock.lab.simulation import Simulation, play
 from tests.lab.small import SMALL, deployment
 
@@ -45,9 +45,13 @@
 @pytest.mark.parametrize("policy", POLICIES.values(), ids=lambda one: one.name)
 def test_calm_day_is_served(policy):
     day = play(deployment(), policy, 1)
-    assert day.part(Outcome.ON_TIME) > 0.95
+    assert day.outcome_share(Outcome.ON_TIME) > 0.95
     # Nothing is refused or fails while places are free.
-    assert day.part(Outcome.REFUSED) == day.part(Outcome.FAILED) == 0.0
+    assert (
+        day.outcome_share(Outcome.REFUSED)
+        == day.outcome_share(Outcome.FAILED)
+        == 0.0
+    )
 
 
 @pytest.mark.parametrize("fault", FAULTS.values(), ids=FAULTS.keys())
@@ -68,7 +72,7 @@
 def test_service_recovers(fault):
     day = play(deployment(faults=[fault], seconds=14.0), ROUTER, 2)
     last = [rows for at, rows in by_window(day.rows).items() if at >= 10.0]
-    assert all(share(rows) > 0.9 for rows in last)
+    assert all(credit_share(rows) > 0.9 for rows in last)
 
 
 def test_cold_engines_get_no_more_than_they_bear():
--- a/tests/timeline.py
+++ b/tests/timeline.py
@@ -15,7 +15,7 @@
 
     def __init__(self, seed):
         self.time = 0.0
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self._numbers = itertools.count()
         self._queue = []
 
@@ -35,6 +35,6 @@
             call(*args)
             yield
 
-    def way(self, longest_s):
+    def random_delay(self, longest_s):
         """Return how long a way takes."""
-        return self.draw.uniform(0.001, longest_s)
+        return self.rng.uniform(0.001, longest_s)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -9,7 +9,7 @@
 import threading
 
 
-class Over(BaseException):
+class TimeExpired(BaseException):
     """The time is over; raised in each task that sleeps."""
 
 
@@ -26,7 +26,7 @@
         self._numbers = itertools.count()
         self._running = threading.Semaphore(0)
         self._local = threading.local()
-        self._over = False
+        self._expired = False
         self._threads = []
         self._errors = []
 
@@ -42,11 +42,11 @@
     def sleep(self, seconds):
         """Let time pass for the task that calls."""
         turn = self._local.turn
-        self._queue_up(self.time + seconds, turn)
+        self._schedule(self.time + seconds, turn)
         self._running.release()
         turn.acquire()
-        if self._over:
-            raise Over
+        if self._expired:
+            raise TimeExpired
 
     def start(self, function, *args):
         """Add a task that starts now."""
@@ -56,9 +56,9 @@
             self._local.turn = turn
             turn.acquire()
             try:
-                if not self._over:
+                if not self._expired:
                     function(*args)
-            except Over:
+            except TimeExpired:
                 pass
             except Exception as error:
                 self._errors.append(error)
@@ -67,7 +67,7 @@
 
         thread = threading.Thread(target=run, daemon=True)
         self._threads.append(thread)
-        self._queue_up(self.time, turn)
+        self._schedule(self.time, turn)
         thread.start()
 
     def run(self, until):
@@ -78,18 +78,18 @@
         """
         while self._queue and self._queue[0][0] <= until and not self._errors:
             self.time, _, turn = heapq.heappop(self._queue)
-            self._step(turn)
-        self._over = True
+            self._run_task(turn)
+        self._expired = True
         while self._queue:
-            self._step(heapq.heappop(self._queue)[2])
+            self._run_task(heapq.heappop(self._queue)[2])
         for thread in self._threads:
             thread.join()
         for error in self._errors:
             raise error
 
-    def _queue_up(self, at, turn):
+    def _schedule(self, at, turn):
         heapq.heappush(self._queue, (at, next(self._numbers), turn))
 
-    def _step(self, turn):
+    def _run_task(self, turn):
         turn.release()
         self._running.acquire()
