--- a/lacewingdock/components/inspection/exposition.py
+++ b/lacewingdock/components/inspection/exposition.py
@@ -24,8 +24,8 @@
     RequestLabels,
     TimeLabels,
 )
-from lacewingdock.components.inspection.beliefs import StateCollector
 from lacewingdock.components.inspection.state import RouterState
+from lacewingdock.components.inspection.state_collector import StateCollector
 from lacewingdock.platform.metrics import PlatformCalls
 from lacewingdock.platform.object_api import ObjectApi
 
--- a/tests/lab/test_command.py
+++ b/tests/lab/test_command.py
@@ -7,7 +7,7 @@
 from lacewingdock.lab.deployment import load_deployment
 from lacewingdock.lab.results import Day, Outcome, Row, compare
 from lacewingdock.settings import SimulateSettings
-from tests.lab.small import TEXT
+from tests.lab.small_deployment import TEXT
 
 
 def written(tmp_path, before="", after=""):
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -5,7 +5,7 @@
 from lacewingdock.lab.policy import POLICIES
 from lacewingdock.lab.results import Outcome, by_window, credit_share
 from lacewingdock.lab.simulation import Simulation, play
-from tests.lab.small import SMALL, deployment
+from tests.lab.small_deployment import SMALL, deployment
 
 ROUTER = POLICIES["router"]
 FAULTS = {
