--- a/lacewingdock/components/inspection/__init__.py
+++ b/lacewingdock/components/inspection/__init__.py
@@ -1,4 +1,4 @@
-"""Support for looking into a running router: its metrics and its beliefs."""
+"""Inspection of a running router: HTTP endpoint of its metrics and state."""
 
 import socket
 from collections.abc import Callable
@@ -26,22 +26,23 @@
 
 METRICS_PATH: Final = b"/metrics"
 STATE_PATH: Final = b"/state"
-# A collector asks every few seconds over a connection that it keeps; a person
-# asks once.
+# Timeouts of a connection in seconds. A metrics collector sends a request every
+# few seconds over a persistent connection, a person sends a single request.
 _LIMITS: Final = CallerLimits(read_s=1.0, idle_s=10.0)
-# One collector, a spare and some people at once.
+# Maximum number of connections: enough for a metrics collector, a spare one and
+# a few people at the same time.
 MAX_CONNECTIONS: Final = 8
 
 log = get_logger("inspection")
 
 
 class InspectionPort:
-    """Answers /metrics as Prometheus' text, and /state as JSON.
+    """Serves /metrics in Prometheus' text format and /state as JSON.
 
     Attributes:
-        state: Returns what the router believes.
-        metrics: Counts of its requests.
-        api: The platform's store, whose calls are counted.
+        state: Returns the router's current state.
+        metrics: Counters of the router's requests.
+        api: Client of the platform's store; its calls are exported as metrics.
         listener: Accepts the connections.
     """
 
@@ -72,7 +73,7 @@
         try:
             serve_requests(sock, _LIMITS, self._answer)
         except (CallerGone, LacewingdockError) as error:
-            log.info("question unread", error=repr(error))
+            log.info("cannot read request", error=repr(error))
 
     def _answer(
         self, connection: ServerConnection, request: ServerRequest
@@ -90,7 +91,7 @@
         connection.answer(HTTPStatus.OK, headers, body)
 
     def _get_exposition(self) -> "Exposition":
-        """Return the metrics; the first call loads the library for them."""
+        """Return the exposition; the first call imports prometheus_client."""
         if self._exposition is None:
             from lacewingdock.components.inspection.exposition import Exposition
 
--- a/lacewingdock/components/inspection/exposition.py
+++ b/lacewingdock/components/inspection/exposition.py
@@ -1,6 +1,6 @@
-"""Support for a router's metrics in Prometheus' text.
+"""Exposition of a router's metrics in Prometheus' text format.
 
-Loaded when metrics are asked for first; see `gateway/metrics.py`.
+Imported at the first request for metrics; see `gateway/metrics.py`.
 """
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
@@ -33,20 +33,20 @@
 
 
 class RequestCollector(Collector):
-    """Collects the counts of requests and attempts.
+    """Collects the counters of requests and attempts.
 
     Attributes:
-        metrics: The counts.
+        metrics: The counters of the gateway.
     """
 
     __slots__ = ("metrics",)
 
     def __init__(self, metrics: GatewayMetrics) -> None:
-        """Take the counts."""
+        """Build a collector of a gateway's counters."""
         self.metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the counts as they are now."""
+        """Yield the metrics with their current values."""
         found = self.metrics.copy()
         yield _counter(
             "lacewingdock_gateway_requests",
@@ -74,7 +74,7 @@
     """Renders all metrics of a router.
 
     Attributes:
-        registry: The collectors.
+        registry: The registered collectors.
     """
 
     __slots__ = ("registry",)
@@ -85,14 +85,14 @@
         metrics: GatewayMetrics,
         api: ObjectApi,
     ) -> None:
-        """Register what is collected."""
+        """Register the collectors of a router's metrics."""
         self.registry = CollectorRegistry()
         self.registry.register(StateCollector(state))
         self.registry.register(RequestCollector(metrics))
         self.registry.register(PlatformCalls(api))
 
     def render(self) -> tuple[str, bytes]:
-        """Return media type and text of all metrics as they are now."""
+        """Return media type and text of all metrics with current values."""
         return CONTENT_TYPE_LATEST, generate_latest(self.registry)
 
 
@@ -102,7 +102,7 @@
     labels: Sequence[str],
     counts: Mapping[Any, int],
 ) -> Metric:
-    """Return a counter with the counts by the values of its labels."""
+    """Return a counter metric, with a sample for each set of label values."""
     found = CounterMetricFamily(name, text, labels=labels)
     for values, count in counts.items():
         found.add_metric(values, count)
@@ -110,5 +110,5 @@
 
 
 def _cumulative_buckets(times: DurationHistogram) -> list[tuple[str, float]]:
-    """Return bounds and counts up to each."""
+    """Return the upper bound and cumulative count of each bucket."""
     return list(zip(_BUCKET_BOUNDS, accumulate(times.counts), strict=True))
--- a/lacewingdock/components/inspection/gather.py
+++ b/lacewingdock/components/inspection/gather.py
@@ -1,4 +1,4 @@
-"""Support for gathering what a router's parts believe."""
+"""Builds the state of a router from its components."""
 
 import math
 import time
@@ -21,20 +21,20 @@
 
 
 def age_s(at: float | None) -> float | None:
-    """Return the seconds since a monotonic time; None where it never was."""
+    """Return the seconds since a monotonic time; None if it is not set."""
     if not at or at == -math.inf:
         return None
     return round(time.monotonic() - at, 3)
 
 
 def left_s(until: float) -> float | None:
-    """Return the seconds up to a monotonic time; None where it is over."""
+    """Return the seconds until a monotonic time; None if it has passed."""
     found = until - time.monotonic()
     return round(found, 3) if found > 0 else None
 
 
 def gather_copies(mirrors: Iterable[Mirror]) -> list[CopyState]:
-    """Return the state of each copy."""
+    """Return the state of each copy of the platform's objects."""
     return [
         CopyState(
             mirror.kind,
@@ -74,7 +74,7 @@
 
 
 def gather_services(gateway: Gateway) -> list[ServiceState]:
-    """Return the state of each service that requests came for."""
+    """Return the state of each service that has received requests."""
     shifts = gateway.shifts
     return [
         ServiceState(
@@ -91,7 +91,7 @@
 
 
 def gather_roll_outs(shifts: Shifts) -> list[RollOutState]:
-    """Return the state of each roll-out under way."""
+    """Return the state of each roll-out in progress, by service."""
     return [
         RollOutState(
             service=service,
@@ -110,7 +110,7 @@
 
 
 def gather_routers(routers: Routers) -> list[PeerState]:
-    """Return the other routers."""
+    """Return the other routers, by name."""
     return [
         PeerState(name, entry.address)
         for name, entry in sorted(routers.entries.items())
--- a/lacewingdock/components/inspection/show.py
+++ b/lacewingdock/components/inspection/show.py
@@ -1,4 +1,4 @@
-"""Support for showing what a running router believes."""
+"""Reads the state of a running router and formats it as text."""
 
 from dataclasses import fields
 from typing import Any, Final
@@ -27,15 +27,15 @@
 
 
 def read_state(router: str) -> RouterState:
-    """Ask a router what it believes.
+    """Fetch the state of a router.
 
     Args:
-        router: URL of its metrics port.
+        router: URL of the router's metrics port.
 
     Raises:
-        LacewingdockError: BAD_COMMAND, when it tells nothing that is
-            understood.
-        OSError: There is no answer.
+        LacewingdockError: BAD_COMMAND, when the answer is not a router's
+            state.
+        OSError: When the request fails or is answered with an error status.
     """
     try:
         return msgspec.json.decode(get(f"{router}/state"), type=RouterState)
@@ -46,7 +46,7 @@
 
 
 def show_state(state: RouterState) -> str:
-    """Return a router's state as people read it."""
+    """Return a router's state as readable text, with a table per list."""
     lines = [
         f"{one.name:15} {as_cell(getattr(state, one.name))}"
         for one in fields(state)
--- a/lacewingdock/components/inspection/state.py
+++ b/lacewingdock/components/inspection/state.py
@@ -1,18 +1,19 @@
-"""Support for what a router tells of its beliefs, as typed values."""
+"""State of a router as it is reported at /state."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True)
 class CopyState:
-    """A copy of one kind of the platform's objects.
+    """State of the router's copy of one kind of the platform's objects.
 
     Attributes:
-        kind: The kind.
-        revision: Era and count up to which it is complete; None where there
-            is none yet.
-        objects: How many objects it holds.
-        age_s: Seconds since the store last said what it is; None before.
+        kind: Kind of the objects.
+        revision: Era and count of the revision up to which the copy is
+            complete; None before the first.
+        objects: Number of objects in the copy.
+        age_s: Seconds since the store last confirmed the copy; None before
+            the first confirmation.
     """
 
     kind: str
@@ -23,27 +24,31 @@
 
 @dataclass(slots=True)
 class UpstreamState:
-    """An upstream instance.
+    """State of an upstream instance.
 
     Attributes:
-        upstream: Its id.
-        service: The service it serves.
-        version: The version it runs.
-        failure_domain: Where it stands.
-        state: What speaks against it.
-        running: This router's requests that are at it.
-        unread: Work of those whose answers have not begun, in thousands of
-            tokens of the largest model.
-        others_running: Other routers' requests there, as they told.
-        failures: Recent failures, older ones counting less.
-        heard_s: Seconds since bytes came from it; None where none did.
-        limit_per_s: Requests a second that it takes from all routers; None
-            where it names no limit.
-        limit_s: Seconds since it named the limit last; None where it did not.
-        leaving_s: Seconds since it said itself that it leaves; None where it
-            did not.
-        rest_s: Seconds for which it still wants no request; None where it
-            rests not.
+        upstream: Id of the instance.
+        service: Service of the instance.
+        version: Version that the instance runs.
+        failure_domain: Failure domain of the instance.
+        state: Reason that restricts the use of the instance; "sound" if there
+            is none.
+        running: Requests of this router in progress at the instance.
+        unread: Work of those requests whose answers have not begun, in
+            thousands of tokens of the largest model.
+        others_running: Requests of other routers in progress at the instance,
+            as last reported by those routers.
+        failures: Recent failures; the weight of a failure decays with age.
+        heard_s: Seconds since the router last received bytes from the
+            instance; None if it never did.
+        limit_per_s: Requests a second that the instance accepts from all
+            routers together; None if it announces no limit.
+        limit_s: Seconds since the instance last announced its limit; None if
+            it never did.
+        leaving_s: Seconds since the instance itself announced that it is
+            leaving, draining before a planned stop; None if it did not.
+        rest_s: Seconds left of the rest, the backoff asked for with
+            Retry-After; None if the instance is not resting.
     """
 
     upstream: str
@@ -64,19 +69,20 @@
 
 @dataclass(slots=True)
 class RollOutState:
-    """A roll-out under way.
+    """State of a roll-out in progress.
 
     Attributes:
-        service: The service.
+        service: Service that is rolled out.
         target: The new version.
-        stage: How far requests are moved.
-        elapsed_s: Seconds since the order.
-        duration_s: Seconds that it may take.
-        answers: Answers of the new version that this router saw.
-        bad: Bad ones among them.
-        suspect: Whether the sum over all routers speaks against it.
-        found_bad: Why it counts as bad; empty while it does not.
-        reports: Routers whose reports are counted.
+        stage: Stage of the traffic shift to the new version.
+        elapsed_s: Seconds since the roll-out was ordered.
+        duration_s: Seconds that the roll-out may take.
+        answers: Answers of the new version that this router received.
+        bad: Bad answers among them.
+        suspect: Whether the sum of all routers' answers indicates a bad
+            version.
+        found_bad: Reason why the version was found bad; empty if it was not.
+        reports: Number of routers whose reports are counted.
     """
 
     service: str
@@ -96,8 +102,8 @@
     """Another router.
 
     Attributes:
-        router: Its name.
-        address: Where it is asked for copies.
+        router: Name of the router.
+        address: Address at which it serves copies of the store's objects.
     """
 
     router: str
@@ -106,16 +112,17 @@
 
 @dataclass(slots=True)
 class ServiceState:
-    """A service as this router's requests found it.
+    """State of a service, as observed by this router's requests.
 
     Attributes:
-        service: The service.
-        settled: The version that it is on outside of roll-outs.
-        refused: The version that was rolled back.
-        requests: Requests counted since the start.
-        retries_left: Retries that may be made now.
-        lateness: How late its answers begin, as a part of their goal.
-        slowdown: Pauses between its streams' events, in times those at rest.
+        service: Name of the service.
+        settled: Version that the service runs outside of roll-outs.
+        refused: Version that was rolled back.
+        requests: Requests counted since the router's start.
+        retries_left: Retries that the retry budget allows now.
+        lateness: Time to an answer's first event, as a share of its goal.
+        slowdown: Pause between events of streams, as a multiple of the pause
+            without load.
     """
 
     service: str
@@ -129,53 +136,64 @@
 
 @dataclass(slots=True)
 class RouterState:
-    """What a router believes, at one moment.
+    """State of a router at one moment.
 
     Attributes:
         instance: Name of the router.
-        failure_domain: Where it stands.
+        failure_domain: Failure domain of the router.
         release: Release of the program.
-        up_s: Seconds since its start.
-        missing: What is missing to serve; empty if nothing.
-        leaving: Whether it is to stop.
-        active: Requests that were read and not yet answered.
-        configuration: Version of the configuration in force; None without.
-        store_away: Whether its last call of the platform's store failed.
-        store_doubtful: Whether a missing entry need not mean that something
-            is gone.
-        store_returned_s: Seconds since it answered again after a failure;
-            None where it always did.
-        store_era: Era that its answers name; 0 where they name none.
-        store_restored: How often it came back from an older copy.
-        older_answers: Its answers that were of an earlier era.
-        eras_unread: Its answers whose era can't be read.
-        older_entries: Instances whose listed entry tells less than is known.
-        told_bytes: Bytes of messages to other routers that links carried.
-        messages_refused: Datagrams that no router known here sent.
-        watches: Whether it watches the store itself, for others or for want
-            of watchers.
-        watcher: The router that it asked last for the store's news.
-        listeners: Routers that take the store's news from it.
-        news_fetched: News that it fetched from others.
-        cordoned: The failure domains whose instances get nothing new.
-        replaced_seen: Instances at whose addresses others answered it.
-        replaced_told: Such instances that other routers told of.
-        probes_asked: Questions to instances for their load.
-        probes_answered: Answers to them that came in time.
-        leavings_said: Instances that said themselves that they leave.
+        up_s: Seconds since the router's start.
+        missing: Reason why the router is not ready to serve; empty if it is.
+        leaving: Whether the router is draining before a planned stop.
+        active: Requests that were read and are not yet answered.
+        configuration: Version of the configuration in force; None if there is
+            none.
+        store_away: Whether the last call of the platform's store failed.
+        store_doubtful: Whether an entry may be missing from the store's
+            answers although its instance still exists.
+        store_returned_s: Seconds since the store answered again after a
+            failure; None if no call has failed.
+        store_era: Era of the store's answers; 0 if the answers carry none.
+        store_restored: Number of times that the store was restored from an
+            older copy.
+        older_answers: Answers of the store that were of an earlier era.
+        eras_unread: Answers of the store whose era could not be read.
+        older_entries: Instances whose listed entry is older than the state
+            that the router holds of them.
+        told_bytes: Bytes of gossip datagrams sent to other routers, including
+            the datagrams' headers.
+        messages_refused: Datagrams rejected because no listed router sent
+            them.
+        watches: Whether this router watches the store directly, on behalf of
+            other routers or because it has no watcher.
+        watcher: Router that was last queried for the store's changes.
+        listeners: Routers that fetch the store's changes from this router.
+        news_fetched: Updates of the store fetched from other routers.
+        cordoned: Failure domains whose instances get no new requests.
+        replaced_seen: Instances at whose addresses another instance answered
+            this router.
+        replaced_told: Replaced instances reported by other routers.
+        probes_asked: Load probes sent to instances.
+        probes_answered: Load probes that were answered in time.
+        leavings_said: Instances that announced themselves that they are
+            leaving.
         suspects: Requests that were lost and not answered since.
-        suspects_held: Those of them that are held back.
-        suspect_decisions: What was decided about lost requests, counted.
-        limits_named: How often an instance began to name a limit to it.
-        rests_asked: How often an instance asked it for rest, while at none.
-        unknown_headers: Names in upstreams' answers that nothing here reads,
-            and in how many answers they were.
-        unknown_fields: The same of the platform's objects.
-        odd_values: Headers of upstreams' answers whose values can't be read.
+        suspects_held: Lost requests that are held back.
+        suspect_decisions: Number of decisions about lost requests, by kind.
+        limits_named: Number of times that an instance began to announce a
+            rate limit to this router.
+        rests_asked: Number of times that an instance asked this router for
+            rest while it was not resting.
+        unknown_headers: Names in upstreams' answers that the router does not
+            read, with the number of answers that had them.
+        unknown_fields: Fields of the platform's objects that the router does
+            not read, with the number of occurrences.
+        odd_values: Headers of upstreams' answers whose values could not be
+            parsed, with the number of occurrences.
         copies: Copies of the platform's objects.
-        services: The services.
-        upstreams: The upstream instances.
-        roll_outs: Roll-outs under way.
+        services: Services that have received requests.
+        upstreams: Upstream instances.
+        roll_outs: Roll-outs in progress.
         routers: The other routers.
     """
 
--- a/lacewingdock/components/inspection/state_collector.py
+++ b/lacewingdock/components/inspection/state_collector.py
@@ -1,4 +1,4 @@
-"""Support for showing what a router believes as metrics."""
+"""Prometheus collector of a router's state."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -14,24 +14,24 @@
 
 
 class StateCollector(Collector):
-    """Collects gauges from a router's state when they are asked for.
+    """Collects metrics from a router's state at each scrape.
 
     Attributes:
-        state: Returns what the router believes.
+        state: Returns the router's current state.
     """
 
     __slots__ = ("state",)
 
     def __init__(self, state: Callable[[], RouterState]) -> None:
-        """Take where the state comes from."""
+        """Build a collector of the state that a function returns."""
         self.state = state
 
     def describe(self) -> Iterator[Metric]:
-        """Yield nothing: names need no state to be asked for at start."""
+        """Yield nothing, so that registration does not read the state."""
         return iter(())
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the gauges as they are now."""
+        """Yield the metrics with their current values."""
         state = self.state()
         yield _single_gauge(
             "active_requests", "Requests in progress", state.active
--- a/lacewingdock/components/story/__init__.py
+++ b/lacewingdock/components/story/__init__.py
@@ -1,7 +1,7 @@
-"""Support for telling a request's story from captured log lines.
+"""Trace of a request, rebuilt from captured log lines.
 
-It reads the lines of any number of routers, in any order, and needs nothing
-of a running system: what is left of a failure on call is its logs.
+The lines may come from any number of routers, in any order. No running system
+is needed: after a failure the logs are often all that is left.
 """
 
 from collections.abc import Iterable
@@ -14,9 +14,10 @@
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.json import decode_json
 
-# What a router believed shortly before and while it served a request.
+# Span before the first line of a request whose log lines show the state of its
+# routers.
 LOOKBACK: Final = timedelta(seconds=5)
-# Fields that say where a line comes from, and what it is about.
+# Fields that every line has: the source and the subject of the line.
 _COMMON_FIELDS: Final = frozenset(
     {"time", "level", "logger", "message", "instance", "failure_domain"}
 )
@@ -25,13 +26,13 @@
 
 @dataclass(slots=True)
 class LogLine:
-    """One log line.
+    """A parsed log line.
 
     Attributes:
-        time: When it was written, by its router's time of day.
-        router: The router that wrote it.
-        message: What it tells of.
-        fields: What it says.
+        time: Time of day at which the line was written, by its router's clock.
+        router: The router that wrote the line.
+        message: Message of the line.
+        fields: Fields of the line that are not common to all lines.
     """
 
     time: datetime
@@ -40,7 +41,7 @@
     fields: dict[str, Any] = field(default_factory=dict)
 
     def __str__(self) -> str:
-        """Return the line as text."""
+        """Return time, router, message and fields of the line as text."""
         fields_text = " ".join(
             f"{name}={value}" for name, value in self.fields.items()
         )
@@ -49,7 +50,11 @@
 
 
 def parse_lines(text: Iterable[str]) -> list[LogLine]:
-    """Read log lines; what stands before the first brace is passed over."""
+    """Parse JSON log lines and return them in order of time.
+
+    Text before the first brace of a line is ignored, such as the prefix of a
+    log collector. Lines without valid JSON or without a time are skipped.
+    """
     found = []
     for raw in text:
         start = raw.find("{")
@@ -67,19 +72,23 @@
 
 
 def trace_request(lines: list[LogLine], request: str) -> str:
-    """Return what happened to a request and what its routers believed.
+    """Return the log lines of a request and those that show its context.
+
+    Lines of the request itself are marked with an asterisk. The context is the
+    related lines that the request's routers wrote shortly before the request
+    and while they served it.
 
     Args:
         lines: Log lines in order of time.
         request: Id of the request.
 
     Raises:
-        LacewingdockError: NOT_FOUND, when no line tells of it.
+        LacewingdockError: NOT_FOUND, when no line has the id of the request.
     """
     own = [line for line in lines if line.fields.get(_REQUEST_FIELD) == request]
     if not own:
         raise LacewingdockError(
-            ErrorKind.NOT_FOUND, f"no line tells of request {request!r}"
+            ErrorKind.NOT_FOUND, f"no log line of request {request!r}"
         )
     trace = [*own, *_context_lines(lines, own)]
     trace.sort(key=lambda line: line.time)
@@ -93,13 +102,13 @@
 def list_requests(
     lines: list[LogLine], workspace: str, since: str, until: str
 ) -> str:
-    """Return the ends of a workspace's requests in a span of time.
+    """Return the final log line of each request of a workspace.
 
     Args:
         lines: Log lines in order of time.
-        workspace: The workspace; empty for all.
-        since: First time of day, as "HH:MM:SS"; empty for no bound.
-        until: Last time of day; empty for no bound.
+        workspace: The workspace; empty for all workspaces.
+        since: Earliest time of day, as "HH:MM:SS"; empty for no bound.
+        until: Latest time of day, as "HH:MM:SS"; empty for no bound.
     """
     found = [
         line
@@ -113,7 +122,7 @@
 
 
 def _context_lines(lines: list[LogLine], own: list[LogLine]) -> list[LogLine]:
-    """Return what the request's routers came to believe around it."""
+    """Return related lines of the request's routers, before and during it."""
     routers = {line.router for line in own}
     upstreams = {line.fields.get("upstream") for line in own} - {None}
     services = {line.fields.get("service") for line in own} - {None, ""}
@@ -129,8 +138,12 @@
 
 
 def _is_related(line: LogLine, upstreams: set[Any], services: set[Any]) -> bool:
-    """Whether a line is of the request's upstreams or service, or of all."""
-    # A request that was refused without an attempt has no upstream of its own.
+    """Return whether a line is about the request's upstreams or service.
+
+    Lines that name neither concern all requests and count as related.
+    """
+    # A request that was refused without an attempt has no upstream; its service
+    # decides.
     if "upstream" in line.fields and upstreams:
         return line.fields["upstream"] in upstreams
     if "service" in line.fields:
--- a/lacewingdock/lab/__init__.py
+++ b/lacewingdock/lab/__init__.py
@@ -1,11 +1,11 @@
-"""A laboratory: the router's own decisions in a model of what it serves.
+"""Discrete-event simulation of routers in front of model engines.
 
-It runs the classes by which a router chooses instances and models, bounds its
-retries and spares cold instances, with a model's clock and random source, in
-front of engines, links, callers and faults that are simulated (discrete
-events). A play on real processes takes minutes; here ways to decide are
-compared over many seeds and deployments in seconds.
+The simulation runs the router's own classes for choosing instances and models,
+limiting retries and pacing cold instances, with a simulated clock and a seeded
+random generator. Engines, links, callers and faults are simulated. A test on
+real processes takes minutes; the simulation compares routing policies over many
+seeds and deployments in seconds.
 
-The model is not calibrated yet: it shows what a decision does, not what a
-deployment earns. No daemon loads it.
+The simulation is not calibrated yet: it shows the effect of a routing decision,
+not the credit that a real deployment would earn. No daemon loads this package.
 """
--- a/lacewingdock/lab/command.py
+++ b/lacewingdock/lab/command.py
@@ -1,4 +1,4 @@
-"""Plays days for the command line, several at once, and tells of them."""
+"""Runs simulations for the command line, in parallel, and prints results."""
 
 import sys
 from collections.abc import Iterable
@@ -20,34 +20,37 @@
 from lacewingdock.lab.simulation import play
 from lacewingdock.settings import SimulateSettings
 
-# Policies that are compared: the first is the one before.
+# Number of policies that a comparison takes: the baseline, then the candidate.
 COMPARED: Final = 2
 
 
 def simulate(verb: str, file: str, settings: SimulateSettings) -> str:
-    """Play a deployment's days.
+    """Simulate a deployment and return the results as a table.
 
     Args:
-        verb: "run" tells of each day, "compare" of two policies' differences,
-            paired by seed.
-        file: The deployment.
-        settings: Which days, and how.
+        verb: "run" lists each simulated day; "compare" lists the differences
+            between two policies, paired by seed.
+        file: Path of the deployment's TOML file.
+        settings: The policies and seeds to simulate, the number of processes
+            and the file of stored results.
 
     Returns:
-        A table.
+        A text table.
 
     Raises:
-        LacewingdockError: BAD_COMMAND or BAD_SETTING.
+        LacewingdockError: BAD_COMMAND for an unknown verb, BAD_SETTING for an
+            invalid deployment, policy or results file.
     """
     policies = find_policies(settings.policies)
     if verb not in ("run", "compare"):
         raise LacewingdockError(
-            ErrorKind.BAD_COMMAND, f"simulate: want run or compare, not {verb}"
+            ErrorKind.BAD_COMMAND,
+            f"simulate: verb must be run or compare, not {verb}",
         )
     if verb == "compare" and len(policies) != COMPARED:
         raise LacewingdockError(
             ErrorKind.BAD_SETTING,
-            f"--policies: want two to compare, not {settings.policies!r}",
+            f"--policies: compare needs two names, not {settings.policies!r}",
         )
     days = _collect_days(load_deployment(file), policies, settings)
     if verb == "run":
@@ -64,7 +67,7 @@
     policies: Iterable[Policy],
     settings: SimulateSettings,
 ) -> list[Day]:
-    """Return the days, played now or before, by policy and seed."""
+    """Simulate the days that are not stored; return all in order of seed."""
     seeds = range(settings.first_seed, settings.first_seed + settings.seeds)
     wanted = [(policy, seed) for policy in policies for seed in seeds]
     out = Path(settings.out) if settings.out else None
@@ -83,24 +86,25 @@
 
 
 class _Saved(msgspec.Struct):
-    """A line of the file of results."""
+    """A line of the results file: a simulated day and its deployment."""
 
     deployment: str
     day: Day
 
 
 def _deployment_key(deployment: Deployment) -> str:
-    """Return what tells deployments apart: all that is played."""
+    """Return a key that identifies a deployment: its whole definition."""
     return msgspec.json.encode(deployment).decode()
 
 
 def _read(
     out: Path | None, deployment: Deployment
 ) -> dict[tuple[str, int], Day]:
-    """Return the days that were played before.
+    """Return the stored days of a deployment, by policy and seed.
 
     Raises:
-        LacewingdockError: BAD_SETTING, when the file is something else.
+        LacewingdockError: BAD_SETTING, when the file cannot be read as stored
+            results.
     """
     if out is None or not out.exists():
         return {}
--- a/lacewingdock/lab/deployment.py
+++ b/lacewingdock/lab/deployment.py
@@ -1,4 +1,4 @@
-"""Support for the deployments that the laboratory plays."""
+"""Schema of the deployments that the simulation runs."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -17,14 +17,15 @@
 
 
 class Links(msgspec.Struct, forbid_unknown_fields=True):
-    """Delays of one way, and of an instance's entry.
+    """One-way network delays, and delays of the instance registry.
 
     Attributes:
-        within_ms: Within a failure domain.
-        between_ms: Between two.
-        callers_ms: From a caller to a router.
-        entry_late_s: From an instance's start to its entry at the routers.
-        entry_stays_s: For how long the entry of a lost instance stays.
+        within_ms: One-way delay within a failure domain.
+        between_ms: One-way delay between two failure domains.
+        callers_ms: One-way delay from a caller to a router.
+        entry_late_s: Seconds from an instance's start until the routers see
+            its registry entry.
+        entry_stays_s: Seconds for which the entry of a lost instance remains.
     """
 
     within_ms: _NonNegative = 0.1
@@ -35,12 +36,14 @@
 
 
 class Model(msgspec.Struct, forbid_unknown_fields=True):
-    """A size of model that engines have.
+    """A model that engines serve.
 
     Attributes:
-        name: Its name.
-        pace: Time for reading a token, in times that of `read_tokens_per_ms`.
-        quality: Part of the requests that are not too hard for it.
+        name: Name of the model.
+        pace: Time to read a prompt token, as a multiple of the time that
+            follows from `read_tokens_per_ms`.
+        quality: Share of the requests that the model can answer, between 0
+            and 1.
         cost: Price of 1,000 generated tokens.
     """
 
@@ -51,21 +54,25 @@
 
 
 class Engines(msgspec.Struct, forbid_unknown_fields=True):
-    """The model engines.
+    """Properties of the model engines; all engines are alike.
 
     Attributes:
         per_domain: Engines in each failure domain.
-        slots: Requests that one runs at once.
-        queue: Requests that wait there at most.
-        step_ms: Time of a step, which makes a token for each that runs.
-        step_ms_per_running: What each that runs adds to it.
-        read_tokens_per_ms: Tokens of a prompt that are read in a ms.
-        chunk_tokens: Tokens of a prompt that are read in a step.
-        event_tokens: Tokens of an event of a stream.
-        memory_tokens: Tokens that fit, of those that run and of kept parts.
-        cold_s: Seconds for which one is cold after a start.
-        cold_per_s: Requests a second that it bears then; 0 for any number.
-        models: Its models, smallest first.
+        slots: Requests that an engine runs at the same time.
+        queue: Maximum number of requests that wait in an engine's queue.
+        step_ms: Duration of a step, which generates one token for each
+            running request.
+        step_ms_per_running: Time that each running request adds to a step.
+        read_tokens_per_ms: Prompt tokens that an engine reads in a
+            millisecond.
+        chunk_tokens: Maximum number of prompt tokens read in a step.
+        event_tokens: Tokens in each event of a response stream.
+        memory_tokens: Tokens that fit into memory, of running requests and
+            of cached prompt prefixes together.
+        cold_s: Seconds for which an engine is cold after a start.
+        cold_per_s: Requests a second that a cold engine can handle; 0 for no
+            limit.
+        models: The models of an engine, smallest first.
     """
 
     per_domain: _PositiveInt
@@ -86,7 +93,7 @@
     """A lognormal distribution.
 
     Attributes:
-        mean: Its mean.
+        mean: Mean of the distribution.
         sigma: Standard deviation of the logarithm.
     """
 
@@ -95,23 +102,25 @@
 
 
 class Traffic(msgspec.Struct, forbid_unknown_fields=True):
-    """Requests of one route.
+    """The requests of one route.
 
     Attributes:
-        name: The route.
-        per_s: Requests a second.
-        tokens_in: Tokens of the prompt that are its own.
+        name: Name of the route.
+        per_s: Mean number of requests a second.
+        tokens_in: Prompt tokens of a request that no other request shares.
         tokens_out: Tokens of the answer.
-        shared_tokens: Tokens of the prompt that it shares with others.
-        subjects: How many such shared parts there are.
-        goal_s: Time to the first event that is on time.
-        gap_s: Longest pause between events that is on time.
-        timeout_s: Time that callers wait.
-        worth: Credit of an answer on time.
-        late_worth: Credit of a later one.
-        priority: Rank; 0 is first.
-        attempts: Instances that it may be sent to.
-        retries: Times that a caller comes again.
+        shared_tokens: Tokens of the prompt prefix that a request shares with
+            others.
+        subjects: Number of different shared prefixes.
+        goal_s: Maximum time to the first event of an answer that is on time.
+        gap_s: Maximum pause between two events of an answer that is on time.
+        timeout_s: Time after which callers give up.
+        worth: Credit of an answer that is on time.
+        late_worth: Credit of an answer that is late.
+        priority: Priority of the requests; 0 is the highest.
+        attempts: Maximum number of instances that a request is sent to.
+        retries: Maximum number of times that a caller sends a refused request
+            again.
     """
 
     name: str
@@ -131,18 +140,20 @@
 
 
 class FaultKind(StrEnum):
-    """What goes wrong.
+    """Kinds of injected faults.
 
     Attributes:
         ENGINES_LOST: A share of the engines lose power.
-        ALL_LOST: All engines and routers do.
-        ROUTERS_LOST: All routers do.
+        ALL_LOST: All engines and routers lose power.
+        ROUTERS_LOST: All routers lose power.
         CORDON: A failure domain is cordoned; its engines come back cold.
-        BURST: More requests come, by a factor.
-        ENGINES_LIMITED: A share of the engines name a limit.
-        ENGINES_RESTING: A share of the engines turn all away and want rest.
-        ENGINES_LEAVING: A share of the engines say that they leave, which the
-            routers' lists do not, and lose power at the end.
+        BURST: The request rate rises by a factor.
+        ENGINES_LIMITED: A share of the engines announce a rate limit.
+        ENGINES_RESTING: A share of the engines refuse all requests and ask
+            for rest, the backoff asked for with Retry-After.
+        ENGINES_LEAVING: A share of the engines announce in their answers that
+            they are leaving, while their registry entries do not show it, and
+            lose power at the end.
     """
 
     ENGINES_LOST = "engines_lost"
@@ -156,17 +167,18 @@
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True):
-    """One thing that goes wrong.
+    """An injected fault.
 
     Attributes:
-        kind: What.
-        at_s: When.
-        for_s: For how long.
-        share: Of the engines, how many.
-        factor: Of the requests, how many times.
-        domain: Which failure domain.
-        per_s: Requests a second that a limited engine takes of all routers.
-        rest_s: Seconds of rest that a resting engine wants of each router.
+        kind: Kind of the fault.
+        at_s: Start of the fault, in seconds since the start of the day.
+        for_s: Duration in seconds.
+        share: Share of the engines that are affected, between 0 and 1.
+        factor: Factor by which a burst raises the request rate.
+        domain: Failure domain that is cordoned; empty for the first.
+        per_s: Requests a second, from all routers together, that a limited
+            engine accepts.
+        rest_s: Seconds of rest that a resting engine asks of each router.
     """
 
     kind: FaultKind
@@ -180,7 +192,7 @@
 
 
 class Bounds(msgspec.Struct, forbid_unknown_fields=True):
-    """What the routers are held to; see `world.host.Bounds`."""
+    """Retry and slow-start bounds of the routers; see `world.host.Bounds`."""
 
     retry_ratio: _NonNegative = 0.9
     retry_extra: _NonNegative = 96.0
@@ -190,20 +202,20 @@
 
 
 class Deployment(msgspec.Struct, forbid_unknown_fields=True):
-    """A deployment and its day.
+    """A deployment and its simulated day.
 
     Attributes:
-        name: Its name.
-        seconds: Length of the day.
-        domains: The failure domains.
-        routers: Routers in each of them.
-        start_s: From a router's start to its first request.
-        sidecars: Whether engines can be asked for their load.
-        engines: The engines.
-        traffic: The requests.
-        links: Delays.
-        faults: What goes wrong.
-        bounds: What the routers are held to.
+        name: Name of the deployment.
+        seconds: Length of the day, in seconds.
+        domains: Names of the failure domains.
+        routers: Number of routers in each failure domain.
+        start_s: Seconds from a router's start until it serves requests.
+        sidecars: Whether engines have sidecars that report their load.
+        engines: Properties of the engines.
+        traffic: Requests of each route.
+        links: Network and registry delays.
+        faults: Faults that are injected.
+        bounds: Retry and slow-start bounds of the routers.
     """
 
     name: str
@@ -220,7 +232,7 @@
 
 
 def load_deployment(path: str) -> Deployment:
-    """Read and check a deployment.
+    """Read and validate a deployment file.
 
     Raises:
         LacewingdockError: BAD_SETTING, naming key and value.
--- a/lacewingdock/lab/engine.py
+++ b/lacewingdock/lab/engine.py
@@ -1,4 +1,4 @@
-"""A model of an engine that batches requests."""
+"""Model of an inference engine with continuous batching."""
 
 import math
 from collections import OrderedDict, deque
@@ -11,8 +11,8 @@
 from lacewingdock.components.pacing.const import COLD_SPAN_S, LIMIT_SPAN_S
 from lacewingdock.lab.deployment import Engines, Model
 
-# From when it names a limit, requests are counted after this: the routers have
-# told each other by then.
+# Seconds from the announcement of a rate limit until requests are counted
+# against it; the limit has reached all routers by then.
 LIMIT_PROPAGATION_S: Final = 3.0
 
 Steps = Generator[simpy.Event, Any, None]
@@ -20,21 +20,22 @@
 
 @dataclass(slots=True, eq=False)
 class EngineRun:
-    """A request at an engine.
+    """The run of a request on an engine.
 
     Attributes:
-        call: Its id.
+        call: Id of the request.
         model: The model that answers.
-        subject: Shared part of its prompt.
-        shared_tokens: Tokens of that.
+        subject: Id of the shared prompt prefix.
+        shared_tokens: Tokens of the shared prefix.
         own_tokens: Tokens of the rest of the prompt.
-        left: Tokens that are still to be made.
-        priority: Its rank.
-        began: Succeeds with the first event; with False if it never comes.
-        ended: Succeeds with whether the answer is whole.
-        unread: Tokens of the prompt that are still to be read.
-        made: Tokens made.
-        longest_gap_s: Longest pause between two events.
+        remaining: Tokens that are still to be generated.
+        priority: Priority of the request; 0 is the highest.
+        began: Succeeds with True at the first event of the answer, with False
+            if the run ends without an event.
+        ended: Succeeds with whether the answer is complete.
+        unread: Prompt tokens that are still to be read.
+        generated: Tokens generated.
+        longest_gap_s: Longest pause between two events, in seconds.
     """
 
     call: str
@@ -52,7 +53,7 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens that it takes in memory."""
+        """Tokens for which the run needs memory."""
         return (
             self.shared_tokens
             + self.own_tokens
@@ -61,7 +62,7 @@
         )
 
     def finish(self, *, complete: bool) -> None:
-        """Tell that it ended."""
+        """End the run: trigger `began` and `ended` if they are pending."""
         if not self.began.triggered:
             self.began.succeed(complete)
         if not self.ended.triggered:
@@ -70,12 +71,12 @@
 
 @dataclass(slots=True)
 class ArrivalWindow:
-    """What arrived at an engine while it took few.
+    """Peak number of arrivals at an engine within a sliding window.
 
     Attributes:
-        span_s: Length of the spans that are counted.
-        times: Arrivals in the last span.
-        most: The most in any span.
+        span_s: Length of the window in seconds.
+        times: Times of the arrivals in the current window.
+        peak: Largest number of arrivals in any window.
     """
 
     span_s: float
@@ -83,7 +84,7 @@
     peak: int = 0
 
     def add(self, now: float) -> None:
-        """Count an arrival."""
+        """Count an arrival at a time."""
         self.times.append(now)
         while self.times[0] < now - self.span_s:
             self.times.popleft()
@@ -94,22 +95,26 @@
     """One start of an engine.
 
     Attributes:
-        env: The simulation.
-        spec: What engines are like.
-        name: Its id.
-        cold_until: Time up to which it is cold.
-        alive: Whether it runs.
-        running: Requests that run.
-        waiting: Requests that wait, the first to run first.
-        cold: What came while it was cold.
-        limit_per_s: Requests a second that it says that it takes; None where
-            it names no limit.
-        limited: What came while it named one, once all were told.
-        limited_from: Time from which it names it.
-        rest_s: Seconds of rest that it wants as it turns all away; None while
-            it takes requests.
-        leaving: Whether it says that it leaves.
-        unwanted: Requests that reached it though it wanted none.
+        env: The simulation environment.
+        spec: Properties of the engine.
+        name: Id of this start.
+        cold_until: Time until which the engine is cold.
+        alive: Whether the engine has power.
+        running: Runs in progress.
+        waiting: Queued runs, in the order in which they will start.
+        cold: Arrivals while the engine was cold.
+        limit_per_s: Announced limit in requests a second; None if the engine
+            announces none.
+        limited: Arrivals while the engine announced a limit, counted once the
+            limit has reached all routers.
+        limited_from: Time at which the limit was announced first.
+        rest_s: Seconds of rest, the backoff asked for with Retry-After, that
+            the engine asks for while it refuses all requests; None while it
+            accepts requests.
+        leaving: Whether the engine announces that it is leaving, draining
+            before a planned stop.
+        unwanted: Requests that arrived while the engine was leaving or asked
+            for rest.
     """
 
     __slots__ = (
@@ -138,7 +143,7 @@
         name: str,
         cold_until: float,
     ) -> None:
-        """Start it."""
+        """Start an engine; its process runs in the environment."""
         self.env = env
         self.spec = spec
         self.name = name
@@ -158,7 +163,7 @@
         env.process(self._work())
 
     def submit(self, run: EngineRun) -> bool:
-        """Take a request; return whether there is room for it."""
+        """Queue a run; return False if the engine refuses it."""
         if self.env.now < self.cold_until:
             self.cold.add(self.env.now)
         counted_from = self.limited_from + LIMIT_PROPAGATION_S
@@ -177,14 +182,14 @@
         return True
 
     def cancel(self, run: EngineRun) -> None:
-        """Drop a request whose caller or router left."""
+        """Drop a run whose caller or router is gone."""
         for runs in (self.running, self.waiting):
             if run in runs:
                 runs.remove(run)
         self._notify()
 
     def lose_power(self) -> None:
-        """End it, with all that it does."""
+        """Stop the engine at once; all its runs end incomplete."""
         self.alive = False
         for run in self.running + self.waiting:
             run.finish(complete=False)
@@ -193,7 +198,7 @@
 
     @property
     def unread(self) -> float:
-        """Thousands of tokens of the largest model that are yet to be read."""
+        """Unread prompt work, in thousands of tokens of the largest model."""
         largest = self.spec.models[-1].pace
         return sum(
             run.unread * run.model.pace / largest / 1000
@@ -238,7 +243,7 @@
         return step_ms / 1000
 
     def _steps_to_change(self, reading: EngineRun | None) -> int:
-        """Return after how many steps something changes."""
+        """Return the steps until the next event or end of a run."""
         ends = [
             min(one.remaining, self._tokens_to_event(one))
             for one in self.running
@@ -249,7 +254,7 @@
         return max(min(ends, default=1), 1)
 
     def _tokens_to_event(self, run: EngineRun) -> int:
-        """Return how many tokens the first event still lacks."""
+        """Return the tokens until the first event; after it, until the end."""
         if run.began.triggered:
             return run.remaining
         return max(self.spec.event_tokens - run.generated, 1)
@@ -276,7 +281,7 @@
             reading.unread = max(reading.unread - read, 0)
 
     def _cache_prefix(self, run: EngineRun) -> None:
-        """Keep a shared part; the least recently used ones yield."""
+        """Cache a run's prompt prefix; evict the least recently used."""
         self._prefix_cache[run.subject] = run.shared_tokens
         self._prefix_cache.move_to_end(run.subject)
         used = sum(one.tokens for one in self.running)
--- a/lacewingdock/lab/policy.py
+++ b/lacewingdock/lab/policy.py
@@ -1,4 +1,4 @@
-"""Support for the ways to decide that the laboratory compares."""
+"""Routing policies that the simulation compares."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,12 +8,13 @@
 
 
 class InstanceChoice(StrEnum):
-    """How an instance is chosen.
+    """How a router chooses an instance.
 
     Attributes:
-        ASKED: As the router does: three are asked for their load.
-        KNOWN: By what routers see and tell each other.
-        RANDOM: By a draw.
+        PROBED: As in production: three instances are probed for their load.
+        OBSERVED: By the load that the routers observe and report to each
+            other, without probes.
+        RANDOM: Uniformly at random.
     """
 
     PROBED = "asked"
@@ -22,12 +23,12 @@
 
 
 class FirstModel(StrEnum):
-    """Which model is asked first.
+    """Which model a request is sent to first.
 
     Attributes:
-        CASCADE: As the router does.
-        SMALLEST: The smallest, and its answer is taken.
-        LARGEST: The largest.
+        CASCADE: The model that the production router's cascade selects.
+        SMALLEST: The smallest model, whose answer is always accepted.
+        LARGEST: The largest model.
     """
 
     CASCADE = "cascade"
@@ -37,15 +38,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Policy:
-    """A way to decide.
+    """A routing policy.
 
     Attributes:
-        name: Its name.
-        choice: How an instance is chosen.
-        first: Which model is asked first.
-        slow_start: Whether cold instances are spared.
-        replaced: Whether a start that another answers for is left for good.
-        signals: Whether what engines say of themselves is read.
+        name: Name of the policy.
+        choice: How a router chooses an instance.
+        first: Which model a request is sent to first.
+        slow_start: Whether requests to cold instances are paced.
+        replaced: Whether a router stops using an instance once another start
+            has answered at its address.
+        signals: Whether routers apply the limits, rests and leaving notices in
+            engines' answers.
     """
 
     name: str
@@ -72,17 +75,17 @@
 
 
 def find_policies(names: str) -> list[Policy]:
-    """Return the policies of a list of names.
+    """Return the policies named in a comma-separated list.
 
     Raises:
-        LacewingdockError: BAD_SETTING, naming the one that there is not.
+        LacewingdockError: BAD_SETTING, naming the unknown policy.
     """
     found = []
     for name in names.split(","):
         if name not in POLICIES:
             raise LacewingdockError(
                 ErrorKind.BAD_SETTING,
-                f"--policies: want some of {', '.join(POLICIES)}, not {name!r}",
+                f"--policies: want any of {', '.join(POLICIES)}, not {name!r}",
             )
         found.append(POLICIES[name])
     return found
--- a/lacewingdock/lab/results.py
+++ b/lacewingdock/lab/results.py
@@ -1,4 +1,4 @@
-"""Support for what a played day gives, and for comparing two."""
+"""Results of a simulated day, and comparison of two policies."""
 
 import functools
 import math
@@ -11,12 +11,12 @@
 
 from lacewingdock.helpers.text_table import text_table
 
-# Length of the windows of which the worst two are told.
+# Length in seconds of the windows of which the worst two are reported.
 WINDOW_S: Final = 2.0
 
 
 class Outcome(StrEnum):
-    """How a request ended, as its caller saw it."""
+    """Outcome of a request for its caller."""
 
     ON_TIME = "on time"
     LATE = "late"
@@ -26,16 +26,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """A request of a played day.
+    """A request of a simulated day.
 
     Attributes:
-        route: Its route.
-        at_s: When it came first.
-        outcome: How it ended.
-        owed: Credit that it could earn.
-        credit: Credit that it earned.
-        first_s: Seconds to its first event; infinity without.
-        price: Price of the models' answers, those that were dropped too.
+        route: Route of the request.
+        at_s: Time of its first arrival, in seconds since the start of the day.
+        outcome: How the request ended.
+        owed: Credit that the request could earn.
+        credit: Credit that the request earned.
+        first_s: Seconds to the first event; infinity if none came.
+        price: Price of the models' answers, including discarded answers.
     """
 
     route: str
@@ -49,15 +49,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Day:
-    """A played day.
+    """Results of a simulated day.
 
     Attributes:
-        policy: The way to decide.
-        seed: Of all draws.
-        rows: Its requests.
-        cold_most: Most requests that reached a cold engine in a second.
-        turned_away: Attempts that met another instance at an address.
-        limited_most: Most requests that reached a limited engine in 4 s.
+        policy: Name of the routing policy.
+        seed: Seed of all random generators.
+        rows: The requests.
+        cold_most: Peak number of requests that reached a cold engine within a
+            second.
+        turned_away: Attempts that reached another instance at the address.
+        limited_most: Peak number of requests that reached a limited engine
+            within 4 s.
     """
 
     policy: str
@@ -69,32 +71,32 @@
 
     @property
     def credit(self) -> float:
-        """Credit earned, as a part of what is owed."""
+        """Credit earned, as a share of the credit owed."""
         return credit_share(self.rows)
 
     @property
     def worst_credit(self) -> float:
-        """The same in the two worst windows."""
+        """Mean credit share of the two worst windows."""
         parts = sorted(
             credit_share(rows) for rows in by_window(self.rows).values()
         )
         return statistics.fmean(parts[:2]) if parts else 0.0
 
     def outcome_share(self, outcome: Outcome) -> float:
-        """Return the part of the requests that ended in a way."""
+        """Return the share of the requests that ended with an outcome."""
         found = sum(row.outcome is outcome for row in self.rows)
         return found / len(self.rows) if self.rows else 0.0
 
 
 def credit_share(rows: Iterable[Row]) -> float:
-    """Return the credit earned, as a part of what is owed."""
+    """Return the credit earned, as a share of the credit owed."""
     rows = list(rows)
     owed = sum(row.owed for row in rows)
     return sum(row.credit for row in rows) / owed if owed else 0.0
 
 
 def by_window(rows: Iterable[Row]) -> dict[float, list[Row]]:
-    """Return requests by the window in which they came first."""
+    """Return the requests by start of the window in which they arrived."""
     found: defaultdict[float, list[Row]] = defaultdict(list)
     for row in rows:
         found[row.at_s // WINDOW_S * WINDOW_S].append(row)
@@ -102,7 +104,7 @@
 
 
 def by_route(rows: Iterable[Row]) -> dict[str, list[Row]]:
-    """Return requests by route."""
+    """Return the requests by route."""
     found: defaultdict[str, list[Row]] = defaultdict(list)
     for row in rows:
         found[row.route].append(row)
@@ -110,7 +112,7 @@
 
 
 def day_table(days: Sequence[Day]) -> str:
-    """Return played days as a table, a line each."""
+    """Return simulated days as a table, one line a day."""
     columns = ["policy", "seed", "requests", "credit", "worst windows"]
     columns += [outcome.value for outcome in Outcome]
     columns += ["price", "cold most", "turned away", "limited most"]
@@ -134,10 +136,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """The difference of two policies in one figure, paired by seed.
+    """The difference between two policies in one metric, paired by seed.
 
     Attributes:
-        name: The figure.
+        name: The metric.
         before: Mean of the first policy.
         after: Mean of the second.
         error: Standard error of the mean difference.
@@ -150,7 +152,7 @@
 
 
 def difference(name: str, pairs: Sequence[tuple[float, float]]) -> Difference:
-    """Return the difference over pairs of the same seed."""
+    """Return the difference over pairs of results with the same seed."""
     deltas = [after - before for before, after in pairs]
     error = math.inf
     if len(deltas) > 1:
@@ -172,11 +174,12 @@
 
 
 def compare(before: Sequence[Day], after: Sequence[Day]) -> list[Difference]:
-    """Return by how much a policy differs from another, and for whom.
+    """Return the differences in total, by route and by window.
 
     Args:
-        before: Days of the first.
-        after: Days of the second, with the same seeds in the same order.
+        before: Days of the first policy.
+        after: Days of the second policy, with the same seeds in the same
+            order.
     """
     days = list(zip(before, after, strict=True))
 
@@ -207,7 +210,7 @@
 
 
 def difference_table(found: Sequence[Difference]) -> str:
-    """Return differences as a table."""
+    """Return differences as a table, one line a metric."""
     columns = ["figure", "before", "after", "difference", "error"]
     cells = [
         [
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -1,4 +1,4 @@
-"""A router of the laboratory: the product's decisions, a model's network."""
+"""Simulated router: the product's routing decisions on a simulated network."""
 
 import random
 from collections.abc import Callable, Generator
@@ -58,12 +58,13 @@
 from lacewingdock.world.route import Repeat, Route, ServiceLimits, Target
 
 SERVICE: Final = "engines"
-# Confidence of an answer whose request is just not too hard for its model, what
-# each part of the requests that are easier adds to it, and its scatter.
+# Mean confidence, in percent, of an answer to the hardest request that its
+# model can handle, the rise of that mean for each unit by which the model's
+# quality exceeds the hardness, and the standard deviation of the confidence.
 CONFIDENCE_AT_LIMIT: Final = 50.0
 CONFIDENCE_SLOPE: Final = 150.0
 CONFIDENCE_SCATTER: Final = 11.0
-# Tokens that are read cost this part of those that are made.
+# Price of a prompt token as a share of the price of a generated token.
 PROMPT_PRICE_SHARE: Final = 0.25
 
 Serving = Generator[simpy.Event, Any, "Answer"]
@@ -73,11 +74,11 @@
     """How an attempt ended.
 
     Attributes:
-        WHOLE: With a whole answer.
-        UNSURE: With an answer that was turned down.
-        UNREACHED: It reached no engine.
-        REPLACED: It met another engine at the address.
-        LOST: Without an answer.
+        COMPLETE: With a complete answer.
+        UNSURE: With an answer that was discarded for its low confidence.
+        UNREACHED: Without a connection to an engine.
+        REPLACED: At another start of an engine at the same address.
+        LOST: Without a complete answer.
     """
 
     COMPLETE = auto()
@@ -89,14 +90,14 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """How far a request got.
+    """Progress of a request over all its attempts.
 
     Attributes:
-        tried: Starts of engines that it reached.
-        unreached: Attempts that reached none.
-        sent: Whether an attempt may have run.
-        made: Tokens that were passed on.
-        answer: What its caller gets.
+        tried: Incarnations of the engines that the request reached.
+        unreached: Attempts that reached no engine.
+        sent: Whether an engine may have run the request.
+        generated: Tokens that were passed on to the caller.
+        answer: The answer to the caller.
     """
 
     tried: list[str] = field(default_factory=list)
@@ -110,16 +111,17 @@
     """One start of a router.
 
     Attributes:
-        world: What it reaches.
-        name: Its name.
-        domain: Its failure domain.
-        draw: Source of draws.
-        directory: The engines that it knows.
-        chooser: Chooses among them.
-        budgets: Its retry budget.
-        lateness: How late answers begin.
-        alive: Whether it runs.
-        died: Succeeds when it loses power.
+        world: Environment of the router.
+        name: Name of the router.
+        domain: Failure domain of the router.
+        rng: Random generator.
+        directory: The engines listed at this router.
+        chooser: Chooses an engine for a request.
+        budgets: The router's retry budget.
+        limits: Limits and model costs of the simulated service.
+        lateness: Lateness of the answers' first events.
+        alive: Whether the router has power.
+        died: Succeeds when the router loses power.
     """
 
     __slots__ = (
@@ -144,7 +146,7 @@
         names: Callable[[], list[str]],
         seed: int,
     ) -> None:
-        """Start it, knowing nothing."""
+        """Start a router without listed engines."""
         clock = SimulatedClock(world.env)
         self.world = world
         self.name = name
@@ -164,7 +166,7 @@
             world.deployment.sidecars
             and world.policy.choice is InstanceChoice.PROBED
         ):
-            # What the chooser asks of it is what `AskedLoads` has.
+            # The chooser uses only those methods that `SimulatedProber` has.
             self.chooser.prober = cast(Prober, SimulatedProber(world))
         if world.policy.slow_start:
             self.chooser.pacer = Pacer(
@@ -184,7 +186,7 @@
         self.died = world.env.event()
 
     def tick(self, bounds: Bounds) -> None:
-        """Take this router's part of the fleet's retries anew."""
+        """Recompute this router's part of the fleet's retry budget."""
         self.budgets.tick(self._terms(bounds))
 
     def _terms(self, bounds: Bounds) -> RetryTerms:
@@ -194,22 +196,22 @@
         return RetryTerms(bounds.retry_ratio, extra, bounds.retry_window_s)
 
     def budget(self, service: str) -> FleetBudget:
-        """Return the retry budget; there is one service."""
+        """Return the retry budget of the only service."""
         del service
         return self.budgets
 
     def pressure(self, service: str) -> Pressure:
-        """Return how late answers begin; there is one service."""
+        """Return the lateness of answers of the only service."""
         del service
         return self.lateness
 
     def lose_power(self) -> None:
-        """End it; callers see their connections break."""
+        """Stop the router at once; its callers' connections break."""
         self.alive = False
         self.died.succeed()
 
     def serve(self, request: CallerRequest) -> Serving:
-        """Serve a request to its final answer."""
+        """Serve a request, with retries, and return the final answer."""
         call = Call(request.call, b"POST", b"/", "h", "/", any_model=True)
         route = _route(request.traffic, self.world.deployment)
         self.budgets.count_request()
@@ -241,7 +243,7 @@
     def _await_instance(
         self, request: CallerRequest, cascade: Cascade, progress: _Progress
     ) -> Generator[simpy.Event, Any, UpstreamInstance | None]:
-        """Return the engine of the next attempt; None where there is none."""
+        """Return the engine for the next attempt; None if none is available."""
         env, traffic = self.world.env, request.traffic
         unread = self._unread(request, cascade)
         part = MAX_WAIT_SHARE * (1.0 - traffic.priority / (LAST_PRIORITY + 1))
@@ -296,7 +298,7 @@
         progress: _Progress,
         instance: UpstreamInstance,
     ) -> Generator[simpy.Event, Any, AttemptEnd]:
-        """Make one attempt, and take what it shows."""
+        """Make one attempt, and record its result for the engine."""
         unread = self._unread(request, cascade)
         if self.world.policy.first is FirstModel.CASCADE:
             resumes_stream = bool(progress.answer.first_event_at)
@@ -327,7 +329,7 @@
     def _record_replacement(
         self, instance: UpstreamInstance, engine: Engine, progress: _Progress
     ) -> AttemptEnd:
-        """Take that another engine lives at the address."""
+        """Record that another engine answered at the address."""
         self.world.turned_away += 1
         if self.world.policy.replaced:
             self.chooser.replaced(instance, engine.name)
@@ -344,7 +346,7 @@
         instance: UpstreamInstance,
         engine: Engine,
     ) -> Generator[simpy.Event, Any, AttemptEnd]:
-        """Have an engine run a request."""
+        """Run a request on an engine until its answer ends."""
         env = self.world.env
         model = _model(self.world.deployment, cascade.model)
         run = EngineRun(
@@ -409,7 +411,7 @@
         head: AnswerHead,
         sent_at: float,
     ) -> None:
-        """Take what an engine says of itself in an answer."""
+        """Apply the limit, rest and leaving notice in an engine's answer."""
         head.limit_per_s = engine.limit_per_s
         head.leaving = engine.leaving
         if self.world.policy.signals:
@@ -425,7 +427,7 @@
         engine: Engine,
         run: EngineRun,
     ) -> Generator[simpy.Event, Any, AttemptEnd]:
-        """Pass the rest of a stream on."""
+        """Pass the rest of an answer's stream on to the caller."""
         env, began = self.world.env, self.world.env.now
         left_s = max(request.end - env.now, 0.0)
         yield run.ended | env.timeout(left_s) | self.died
@@ -461,13 +463,14 @@
     def _should_retry(
         self, request: CallerRequest, progress: _Progress, end: AttemptEnd
     ) -> bool:
-        """Whether another attempt is made."""
+        """Return whether another attempt is made."""
         left_s = request.end - self.world.env.now
         if end is AttemptEnd.COMPLETE or not self.alive or left_s < MIN_LEFT_S:
             return False
         match end:
             case AttemptEnd.UNSURE:
-                # It took its retry as the answer was turned down.
+                # The cascade took this retry from the budget when it discarded
+                # the answer.
                 return True
             case AttemptEnd.UNREACHED:
                 return progress.unreached < MAX_UNREACHED
--- a/lacewingdock/lab/simulation.py
+++ b/lacewingdock/lab/simulation.py
@@ -1,4 +1,4 @@
-"""Plays a deployment's day."""
+"""Discrete-event simulation of a deployment's day."""
 
 import itertools
 import math
@@ -27,45 +27,52 @@
 from lacewingdock.lab.world import Answer, CallerRequest
 from lacewingdock.world.backend import UpstreamEntry
 
-# How old what routers tell each other of their work is, in the mean.
+# Seconds between exchanges of load reports among routers; the mean age of a
+# report in a fleet.
 GOSSIP_INTERVAL_S: Final = 0.1
-# How often a router takes its part of the retries anew.
+# Seconds between updates of a router's part of the fleet's retry budget.
 TICK_S: Final = 1.0
-# What a refused caller waits at most, as a part of the time it has left.
+# Longest wait of a refused caller, as a share of the time until its timeout.
 RETRY_WAIT_SHARE: Final = 1 / 3
-# Time after which a caller tries another router, where one does not answer.
+# Seconds, beyond a router's start time, after which a caller tries another
+# router, and the interval at which it checks whether the router answers.
 CONNECT_TIMEOUT_S: Final = 1.0
 CONNECT_POLL_S: Final = 0.05
-# Credit of an answer by a model that the request was too hard for.
+# Share of the credit that an answer earns if the request was too hard for its
+# model.
 TOO_HARD_CREDIT_SHARE: Final = 0.05
-# After the last request: the longest answers end.
+# Seconds that the simulation runs on after the last request, so that the
+# longest answers end.
 DRAIN_S: Final = 30.0
 
 Steps = Generator[simpy.Event, Any, None]
 
 
 class Simulation:
-    """A day of a deployment, by one way to decide.
+    """Simulation of a deployment's day under one routing policy.
 
     Attributes:
-        env: The simulation.
-        deployment: What is played.
-        policy: How routers decide.
-        seed: Of all draws.
-        engines: The engine at each address, None while it has no power.
-        entries: The entries that routers see.
-        routers: The routers by name; one without power is not alive.
+        env: The simulation environment.
+        deployment: The simulated deployment.
+        policy: The routing policy.
+        seed: Seed of all random generators.
+        engines: The engine at each address; None while it has no power.
+        entries: The registry entries that routers see, by engine id.
+        routers: The routers by name; a router without power is not alive.
         rows: Requests that ended.
-        turned_away: Attempts that met another engine at an address.
-        limited_most: Most requests that reached a limited engine in 4 s.
-        unwanted: Requests that reached engines that wanted none.
-        cold_most: Most requests that reached a cold engine in a second.
+        turned_away: Attempts that reached another engine at an address.
+        limited_most: Peak number of requests that reached a limited engine
+            within 4 s.
+        unwanted: Requests that reached engines that were leaving or asked for
+            rest.
+        cold_most: Peak number of requests that reached a cold engine within a
+            second.
     """
 
     def __init__(
         self, deployment: Deployment, policy: Policy, seed: int
     ) -> None:
-        """Build it; `run` plays it."""
+        """Build a simulation of a deployment; `run` runs it."""
         self.env = simpy.Environment()
         self.deployment = deployment
         self.policy = policy
@@ -87,7 +94,7 @@
         self._reported_running: dict[str, Counter[int]] = {}
 
     def run(self) -> Day:
-        """Play the day."""
+        """Run the simulation and return its results."""
         for domain in self.deployment.domains:
             for number in range(self.deployment.engines.per_domain):
                 host = f"{domain}-e{number}"
@@ -113,11 +120,11 @@
         )
 
     def engine_at(self, host: str) -> Engine | None:
-        """Return the engine that lives at an address, if any."""
+        """Return the engine that runs at an address, if any."""
         return self.engines.get(host)
 
     def load_at(self, host: str) -> Load | None:
-        """Return what a sidecar says; None where it does not answer."""
+        """Return a sidecar's load report; None if it does not answer."""
         engine = self.engines.get(host)
         if engine is None:
             return None
@@ -125,11 +132,11 @@
         return Load(0, running + self._in_flight[host], engine.unread)
 
     def add_in_flight(self, host: str, count: int) -> None:
-        """Count requests that are on their way to an address."""
+        """Add to the number of requests in flight to an address."""
         self._in_flight[host] = max(self._in_flight[host] + count, 0)
 
     def delay_s(self, domain: str, other: str) -> float:
-        """Return the delay between two failure domains, one way."""
+        """Return the one-way delay between two failure domains, in seconds."""
         links = self.deployment.links
         delay_ms = links.within_ms if domain == other else links.between_ms
         return delay_ms / 1000
@@ -148,7 +155,7 @@
     def _add_entry(
         self, host: str, name: str, cold_until: float, after_s: float
     ) -> Steps:
-        """Have the routers see an engine's entry."""
+        """Add an engine's registry entry at all routers after a delay."""
         yield self.env.timeout(after_s)
         engine = self.engines[host]
         if engine is None or engine.name != name:
@@ -179,7 +186,7 @@
         self.env.process(self._expire_entry(engine.name))
 
     def _expire_entry(self, name: str) -> Steps:
-        """Have an entry run out."""
+        """Remove the entry of a lost engine at all routers once it expires."""
         yield self.env.timeout(self.deployment.links.entry_stays_s)
         if self.entries.pop(name, None) is None:
             return
@@ -197,7 +204,7 @@
         self.routers[name] = router
 
     def _others(self, name: str, mark: int) -> Work:
-        """Return what other routers have at an engine, as told lately."""
+        """Return the work of other routers at an engine, as last reported."""
         if self.policy.choice is InstanceChoice.RANDOM:
             return NO_WORK
         running = sum(
@@ -241,7 +248,7 @@
                 router.tick(bounds)
 
     def _generate_requests(self, traffic: Traffic) -> Steps:
-        """Have requests of a route come."""
+        """Generate the requests of a route as a Poisson process."""
         rng = random.Random(f"{self.seed}/{traffic.name}")
         while True:
             yield self.env.timeout(
@@ -263,12 +270,13 @@
     def _send_request(
         self, request: CallerRequest, router_draw: float
     ) -> Steps:
-        """Send a request, and again where it was refused."""
+        """Send a request as its caller does, with retries when refused."""
         began, price = self.env.now, 0.0
         names = sorted(self.routers)
         answer = Answer()
         for number in range(request.traffic.retries + 1):
-            # Callers are spread unevenly, and come back to another router.
+            # Callers are spread unevenly over the routers, and each retry goes
+            # to another router.
             index = (
                 int(router_draw * router_draw * len(names)) + 7 * number
             ) % len(names)
@@ -287,8 +295,9 @@
     def _connect(
         self, name: str
     ) -> Generator[simpy.Event, Any, SimulatedRouter | None]:
-        """Return a router once it takes the connection; None if it does not."""
-        # The port is open long before the router answers.
+        """Return a router once it answers; None if it times out."""
+        # The port is open long before the router answers, so a caller waits
+        # for the router's start as well.
         deadline = self.env.now + CONNECT_TIMEOUT_S + self.deployment.start_s
         yield self.env.timeout(self.deployment.links.callers_ms / 1000)
         while not self.routers[name].alive:
@@ -331,7 +340,7 @@
         )
 
     def _inject_fault(self, fault: Fault) -> Steps:
-        """Have something go wrong, and end."""
+        """Inject a fault at its time, and end it after its duration."""
         yield self.env.timeout(fault.at_s)
         match fault.kind:
             case FaultKind.BURST:
@@ -434,11 +443,11 @@
 
 
 def _tokens(rng: random.Random, spread: Spread) -> int:
-    """Draw a number of tokens, one at least."""
+    """Return a random number of tokens, at least one."""
     mu = math.log(spread.mean) - spread.sigma**2 / 2
     return max(round(rng.lognormvariate(mu, spread.sigma)), 1)
 
 
 def play(deployment: Deployment, policy: Policy, seed: int) -> Day:
-    """Return a played day."""
+    """Simulate a day of a deployment and return its results."""
     return Simulation(deployment, policy, seed).run()
--- a/lacewingdock/lab/world.py
+++ b/lacewingdock/lab/world.py
@@ -1,4 +1,4 @@
-"""What a router of the laboratory meets: time, requests, engines, sidecars."""
+"""Interfaces of a simulated router: clock, requests, engines, sidecars."""
 
 import threading
 from dataclasses import dataclass
@@ -13,20 +13,20 @@
 
 
 class SimulatedClock:
-    """The simulation's time, as the product's classes take it."""
+    """The simulation's time behind the interface of the product's clock."""
 
     __slots__ = ("env",)
 
     def __init__(self, env: simpy.Environment) -> None:
-        """Take the simulation."""
+        """Build a clock that reads a simulation environment."""
         self.env = env
 
     def now(self) -> float:
-        """Return the time, in seconds."""
+        """Return the simulated time, in seconds."""
         return float(self.env.now)
 
     def wait(self, event: threading.Event, seconds: float) -> bool:
-        """Refuse: nothing in a simulation may block."""
+        """Raise NotImplementedError: a simulation must not block a thread."""
         raise NotImplementedError
 
 
@@ -35,13 +35,13 @@
     """A request as its caller sends it.
 
     Attributes:
-        call: Its id.
-        traffic: Its route.
-        subject: Shared part of its prompt.
-        tokens_in: Tokens of the prompt that are its own.
+        call: Id of the request.
+        traffic: Traffic class of its route.
+        subject: Id of the prompt prefix that it shares with other requests.
+        tokens_in: Prompt tokens that no other request shares.
         tokens_out: Tokens of the answer.
-        hardness: Part of the requests that are easier.
-        end: When its caller gives it up.
+        hardness: Share of the requests that are easier, between 0 and 1.
+        end: Time at which its caller gives up.
     """
 
     call: str
@@ -55,15 +55,17 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a caller gets.
+    """The answer that a caller receives from a router.
 
     Attributes:
-        whole: Whether it is the whole answer.
-        first_at: When its first event came; 0 without.
-        longest_gap_s: Longest pause between two.
-        too_hard: Whether the request was too hard for a model that made it.
-        after_s: When a refused caller may come back; None where it was sent.
-        price: Price of all answers, dropped ones too.
+        complete: Whether the answer is complete.
+        first_event_at: Time of the first event; 0 if none came.
+        longest_gap_s: Longest pause between two events, in seconds.
+        too_hard: Whether the request was too hard for a model that generated
+            part of the answer.
+        after_s: Seconds after which a refused caller may retry; None if the
+            request was sent to an engine.
+        price: Price of all generated answers, including discarded answers.
     """
 
     complete: bool = False
@@ -75,7 +77,7 @@
 
 
 class World(Protocol):
-    """What a router reaches."""
+    """Environment of a simulated router."""
 
     env: simpy.Environment
     deployment: Deployment
@@ -83,33 +85,33 @@
     turned_away: int
 
     def engine_at(self, host: str) -> Engine | None:
-        """Return the engine that lives at an address, if any."""
+        """Return the engine that runs at an address, if any."""
 
     def load_at(self, host: str) -> Load | None:
-        """Return what a sidecar says; None where it does not answer."""
+        """Return a sidecar's load report; None if it does not answer."""
 
     def add_in_flight(self, host: str, count: int) -> None:
-        """Count requests that are on their way to an address."""
+        """Add to the number of requests in flight to an address."""
 
     def delay_s(self, domain: str, other: str) -> float:
-        """Return the delay between two failure domains, one way."""
+        """Return the one-way delay between two failure domains, in seconds."""
 
 
 class SimulatedProber:
-    """Stands in for `Prober`: sidecars answer at once."""
+    """Stands in for `Prober`: sidecars answer without delay."""
 
     __slots__ = ("world",)
 
     def __init__(self, world: World) -> None:
-        """Take whom to ask."""
+        """Build a prober of the sidecars in a simulated environment."""
         self.world = world
 
     def ask(self, hosts: list[str]) -> dict[str, Load]:
-        """Return the loads of those that answer."""
+        """Return the load of each host whose sidecar answers."""
         loads = {one: self.world.load_at(one) for one in hosts}
         return {one: load for one, load in loads.items() if load is not None}
 
     def announce(self, host: str, request: str, unread: float) -> None:
-        """Tell of a request that is about to come."""
+        """Announce a request that is about to be sent to a host."""
         del request, unread
         self.world.add_in_flight(host, 1)
--- a/tests/components/inspection/__init__.py
+++ b/tests/components/inspection/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of looking into a running router."""
+"""Tests of the inspection of a running router."""
--- a/tests/components/inspection/test_inspection.py
+++ b/tests/components/inspection/test_inspection.py
@@ -1,4 +1,4 @@
-"""Tests of looking into a running router."""
+"""Tests of the inspection of a running router."""
 
 import socket
 import threading
@@ -83,7 +83,7 @@
 
 @pytest.fixture
 def port():
-    """An inspection port that is served."""
+    """Serve an inspection port; yield its URL."""
     api = ObjectApi("http://127.0.0.1:1")
     api.failures["list-config"] = 2
     found = InspectionPort(("127.0.0.1", 0), lambda: STATE, METRICS, api)
@@ -96,11 +96,11 @@
     found.listener.close()
 
 
-def test_state_comes_as_it_is(port):
+def test_state_round_trip(port):
     assert read_state(port) == STATE
 
 
-def test_metrics_come_as_text(port):
+def test_metrics_text(port):
     text = get(f"{port}/metrics").decode()
     for line in (
         'lacewingdock_gateway_requests_total{code="200",contract="once",'
@@ -156,7 +156,7 @@
 @pytest.mark.parametrize(
     "data", [b"\r\n\r\n", b"GET /state HTTP/9.9\r\n\r\n", b"\xff" * 99]
 )
-def test_what_is_no_request_ends_its_connection_only(port, data):
+def test_invalid_request_ends_only_its_connection(port, data):
     host, _, number = port.removeprefix("http://").partition(":")
     with socket.create_connection((host, int(number)), 5) as sock:
         sock.sendall(data)
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("body", [b"{}", b"no json", b'{"instance": 3}'])
-def test_a_server_that_is_no_router_is_a_coded_error(monkeypatch, body):
+def test_invalid_state_is_a_coded_error(monkeypatch, body):
     name = "lacewingdock.components.inspection.show.get"
     monkeypatch.setattr(name, lambda _: body)
     with pytest.raises(LacewingdockError, match="no router"):
--- a/tests/components/story/__init__.py
+++ b/tests/components/story/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of story."""
+"""Tests of request traces."""
--- a/tests/components/story/test_story.py
+++ b/tests/components/story/test_story.py
@@ -1,4 +1,4 @@
-"""Tests of requests told from log lines."""
+"""Tests of request traces rebuilt from log lines."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 def line(second, message, router="r-1", **fields):
-    """Return a captured line, as the log collector gives it."""
+    """Return a log line as the log collector outputs it, with its prefix."""
     return "10.0.0.1 stdout " + json.dumps(
         {
             "time": f"2026-01-01T10:00:{second:06.3f}",
@@ -27,7 +27,7 @@
     )
 
 
-# A booking that was answered 502: its upstream reset the connection.
+# A request that was answered 502 because its upstream reset the connection.
 LINES = [
     line(9.0, "upstream", upstream="i-9", service="svc"),
     line(
@@ -51,9 +51,9 @@
 ]
 
 
-def test_story_has_the_request_and_what_its_router_believed():
-    told = trace_request(parse_lines(LINES), "c-1").split("\n")
-    assert [one[:2] + one.split()[-1] for one in told] == [
+def test_trace_shows_request_and_router_context():
+    trace_lines = trace_request(parse_lines(LINES), "c-1").split("\n")
+    assert [one[:2] + one.split()[-1] for one in trace_lines] == [
         "  version=7",
         "  leaving=True",
         "* result=Broken",
@@ -61,19 +61,19 @@
     ]
 
 
-def test_refused_request_has_what_was_believed_of_its_service():
-    """Guards against: a refusal whose story does not say why.
+def test_trace_of_refused_request_shows_its_service():
+    """Guards against: a trace that does not show why a request was refused.
 
-    Sequence: all instances of a service name limits; a request is refused
-    without an attempt, so no line ties it to an instance.
+    Sequence: all instances of a service announce rate limits; a request is
+    refused without an attempt, so no log line relates it to an instance.
     """
     lines = [
         line(9.0, "limit", upstream="i-1", service="svc", per_s=2.0),
         line(9.1, "limit", upstream="i-2", service="other", per_s=3.0),
         line(9.5, "request", request="c-1", service="svc", outcome="refused"),
     ]
-    told = trace_request(parse_lines(lines), "c-1").split("\n")
-    assert [one.split()[-1] for one in told] == [
+    trace_lines = trace_request(parse_lines(lines), "c-1").split("\n")
+    assert [one.split()[-1] for one in trace_lines] == [
         "per_s=2.0",
         "outcome=refused",
     ]
@@ -95,6 +95,6 @@
         ("nobody", "", "", []),
     ],
 )
-def test_requests_of_a_workspace(workspace, since, until, found):
+def test_list_requests_of_a_workspace(workspace, since, until, found):
     text = list_requests(parse_lines(LINES), workspace, since, until)
     assert [one for one in ("c-2", "c-1") if f"request={one}" in text] == found
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""In-memory fakes of what the system meets."""
+"""In-memory fakes of the platform's store, links, daemons and clock."""
 
 import contextlib
 import copy
@@ -19,25 +19,28 @@
 
 
 class FakeStore:
-    """The platform's object API in memory.
+    """In-memory fake of the platform's object API.
 
     Attributes:
         objects: Objects by collection and name.
-        revision: The last revision given.
+        revision: Revision of the latest write.
         down: Whether every call fails.
-        lose_answers: Writes whose answer is lost after they took effect.
-        fates: What happens to the next writes, "ok" when empty: "lost",
-            "dropped" before they took effect, or "late": given up by the
-            writer, taking effect when `arrive` is called.
-        late: Writes under way, each the arguments of a put.
-        calls: Calls by purpose.
-        on_call: Called before each call, to let others act in between.
+        lose_answers: Number of next writes that take effect but whose answers
+            are lost.
+        write_outcomes: Outcomes of the next writes; "ok" when empty. With
+            "lost" the write takes effect but its answer is lost, with "dropped"
+            it takes no effect, and with "late" the writer sees a failure and
+            the write takes effect when `apply_late_write` is called.
+        late: Writes in flight, as arguments of `_apply`.
+        calls: Number of calls by purpose.
+        on_call: Called before each call, so that a test can act in between.
         history: Every write as (collection, name, value).
-        old: A listing to answer the next list with, instead of the present.
+        old: Stale listing that answers the next `list_all` instead of the
+            current listing.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty store."""
         self.objects: dict[str, dict[str, Stored]] = {}
         self.revision = 0
         self.down = False
@@ -57,7 +60,7 @@
             raise LacewingdockError(ErrorKind.PLATFORM_UNAVAILABLE, "down")
 
     def get(self, collection: str, name: str, purpose: str = "") -> Stored:
-        """Read an object."""
+        """Return an object; its revision is 0 if it does not exist."""
         self._enter(purpose)
         found = self.objects.get(collection, {}).get(name, Stored(name, 0))
         return copy.deepcopy(found)
@@ -69,7 +72,7 @@
         prefix: str = "",
         after: int = -1,
     ) -> Listing:
-        """Read all objects of a collection."""
+        """List the objects of a collection."""
         self._enter(purpose)
         if self.old is not None:
             listing, self.old = self.old, None
@@ -79,7 +82,7 @@
     def current_listing(
         self, collection: str, prefix: str = "", after: int = -1
     ) -> Listing:
-        """Return what a list shows now."""
+        """Return the current listing, without counting a call."""
         found = self.objects.get(collection, {}).values()
         chosen = [
             o for o in found if o.name.startswith(prefix) and o.revision > after
@@ -89,7 +92,7 @@
     def watch(
         self, collection: str, after: int, purpose: str, prefix: str = ""
     ) -> Listing:
-        """Return what changed, without waiting."""
+        """Return the changes after a revision at once, without a long poll."""
         return self.list_all(collection, purpose, prefix, after)
 
     def put(
@@ -103,7 +106,7 @@
     ) -> Stored:
         """Write an object if its revision is the expected one."""
         self._enter(purpose)
-        # As the real client does: what can't be encoded must fail here too.
+        # Values that cannot be encoded must fail here as in the real client.
         value = msgspec.json.decode(msgspec.json.encode(value))
         outcome = self.write_outcomes.popleft() if self.write_outcomes else "ok"
         if outcome == "late":
@@ -117,7 +120,7 @@
         return copy.deepcopy(stored)
 
     def apply_late_write(self) -> None:
-        """Let the oldest late write reach the platform."""
+        """Apply the oldest write in flight; a conflict is ignored."""
         with contextlib.suppress(LacewingdockError):
             self._apply(*self.late.pop(0))
 
@@ -145,24 +148,24 @@
 
 
 class FakeLink:
-    """One side of a link; what it sends waits until it is delivered.
+    """One side of a link; sent messages wait until they are delivered.
 
     Attributes:
-        peer: What the other side said of itself.
+        peer: Hello message of the other side.
         other: The other side.
-        inbox: Messages on their way here.
+        inbox: Messages that this side has yet to receive.
         closed: Whether the link is closed.
     """
 
     def __init__(self, peer: Hello) -> None:
-        """Start open and empty."""
+        """Create an open link without messages."""
         self.peer = peer
         self.other: FakeLink = self
         self.inbox: deque[Any] = deque()
         self.closed = False
 
     def send(self, message: Any) -> bool:
-        """Put a message on its way."""
+        """Append a message to the other side's inbox; False if closed."""
         if self.closed:
             return False
         self.other.inbox.append(message)
@@ -177,7 +180,7 @@
     """The links of one daemon, without sockets."""
 
     def __init__(self) -> None:
-        """Start without links."""
+        """Create an object without links and handlers."""
         self.links: set[FakeLink] = set()
         self.handlers: dict[type, list[Any]] = {}
         self.on_open: list[Any] = []
@@ -185,24 +188,24 @@
         self.beat: Any = Beat
 
     def handle(self, cls: type, handler: Any) -> None:
-        """Let a handler take every message of a class."""
+        """Register a handler for all messages of a class."""
         self.handlers.setdefault(cls, []).append(handler)
 
     def opened(self, link: FakeLink) -> None:
-        """Take a link in."""
+        """Add an opened link and run the callbacks."""
         self.links.add(link)
         for callback in self.on_open:
             callback(link)
 
     def closed(self, link: FakeLink) -> None:
-        """Let a link go."""
+        """Close and remove a link and run the callbacks."""
         link.closed = True
         self.links.discard(link)
         for callback in self.on_close:
             callback(link)
 
     def deliver(self, link: FakeLink) -> bool:
-        """Hand on the oldest message of a link, if there is one."""
+        """Pass a link's oldest message to its handlers; False if none."""
         if link.closed or not link.inbox:
             return False
         message = link.inbox.popleft()
@@ -212,10 +215,10 @@
 
 
 class FakeDaemon:
-    """What a component needs of its daemon; tasks are not run."""
+    """Stands in for a daemon; spawned tasks are recorded, not run."""
 
     def __init__(self, name: str, role: str, domain: str, store: Any) -> None:
-        """Start a daemon without components."""
+        """Create a daemon without components."""
         self.me = Hello(name, f"{name}-run", role, domain, b"")
         self.store = store
         self.random = random.Random(name)
@@ -224,7 +227,7 @@
         self.spawned: list[Any] = []
 
     def spawn(self, function: Any, *args: Any) -> None:
-        """Note a task."""
+        """Record a task."""
         self.spawned.append((function, args))
 
 
@@ -232,11 +235,11 @@
     """A clock that the test moves; stands in for the module `time`."""
 
     def __init__(self) -> None:
-        """Start late enough that nothing counts as recent."""
+        """Start late enough that times of 0 do not count as recent."""
         self.now = 1000.0
 
     def monotonic(self) -> float:
-        """Return the time."""
+        """Return the fake time, in seconds."""
         return self.now
 
 
@@ -244,19 +247,19 @@
     """A daemon with its configuration and links."""
 
     def __init__(self, name: str, role: str, domain: str, store: Any) -> None:
-        """Start it."""
+        """Create a node whose heartbeats carry its revision."""
         self.peers = FakePeers()
         self.daemon = FakeDaemon(name, role, domain, store)
         self.config = Configuration(self.daemon, self.peers)  # type: ignore[arg-type]
         self.peers.beat = lambda: Beat(revision=self.config.revision)
 
     def beat(self) -> None:
-        """Beat every link."""
+        """Send a heartbeat on every link."""
         for link in tuple(self.peers.links):
             link.send(self.peers.beat())
 
     def deliver_all(self) -> bool:
-        """Hand on all that waits here; tell whether there was any."""
+        """Deliver all waiting messages; return whether there were any."""
         done = [
             self.peers.deliver(link)
             for link in tuple(self.peers.links)
@@ -282,13 +285,13 @@
 
 
 def deliver_until_idle(nodes: list[FakeNode]) -> None:
-    """Deliver until nothing is on its way."""
+    """Deliver messages until none is waiting at any node."""
     while any([node.deliver_all() for node in nodes]):
         pass
 
 
 def write(store: FakeStore, name: str, value: Any) -> int:
-    """Write a configuration item over what it is; return its revision."""
+    """Overwrite a configuration item; return its new revision."""
     current = store.objects.get(COLLECTION_CONFIG, {}).get(name)
     expect = current.revision if current else 0
     return store.put(COLLECTION_CONFIG, name, value, expect).revision
--- a/tests/lab/__init__.py
+++ b/tests/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the laboratory."""
+"""Tests of the simulation."""
--- a/tests/lab/small_deployment.py
+++ b/tests/lab/small_deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment for tests."""
+"""A small simulated deployment for tests."""
 
 import tomllib
 
--- a/tests/lab/test_command.py
+++ b/tests/lab/test_command.py
@@ -1,4 +1,4 @@
-"""Tests of the command that plays days."""
+"""Tests of the simulate command."""
 
 import pytest
 
@@ -10,8 +10,8 @@
 from tests.lab.small_deployment import TEXT
 
 
-def written(tmp_path, before="", after=""):
-    """Return the path of a deployment's file, in which a text is replaced."""
+def write_deployment(tmp_path, before="", after=""):
+    """Write a deployment file with one text replaced; return its path."""
     assert before in TEXT
     path = tmp_path / "small.toml"
     path.write_text(TEXT.replace(before, after) if before else TEXT + after)
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("before", "after", "said"),
+    ("before", "after", "message_part"),
     [
         ("seconds = 10.0", "seconds = -1", "`$.seconds`, not -1"),
         ('domains = ["a", "b"]', "domains = []", "`$.domains`"),
@@ -33,12 +33,14 @@
         ("[engines]", "[engines", "small.toml"),
     ],
 )
-def test_bad_file_is_told_by_key_and_value(tmp_path, before, after, said):
-    path = written(tmp_path, before, after)
+def test_invalid_file_error_names_key_and_value(
+    tmp_path, before, after, message_part
+):
+    path = write_deployment(tmp_path, before, after)
     with pytest.raises(LacewingdockError) as caught:
         load_deployment(path)
     assert caught.value.kind is ErrorKind.BAD_SETTING
-    assert said in str(caught.value)
+    assert message_part in str(caught.value)
 
 
 @pytest.mark.parametrize(
@@ -49,15 +51,15 @@
         ("compare", "router", ErrorKind.BAD_SETTING),
     ],
 )
-def test_bad_words(tmp_path, verb, policies, kind):
+def test_invalid_arguments(tmp_path, verb, policies, kind):
     settings = SimulateSettings(policies=policies)
     with pytest.raises(LacewingdockError) as caught:
-        simulate(verb, written(tmp_path), settings)
+        simulate(verb, write_deployment(tmp_path), settings)
     assert caught.value.kind is kind
 
 
-def test_days_that_were_played_are_not_played_again(tmp_path, capsys):
-    path = written(tmp_path, "seconds = 10.0", "seconds = 2.0")
+def test_stored_days_are_not_simulated_again(tmp_path, capsys):
+    path = write_deployment(tmp_path, "seconds = 10.0", "seconds = 2.0")
     out = str(tmp_path / "rows.jsonl")
     settings = SimulateSettings(policies="router,largest", seeds=2, out=out)
     first = simulate("run", path, settings)
@@ -66,23 +68,23 @@
     assert capsys.readouterr().err == ""
     found = simulate("compare", path, settings)
     assert "worst windows" in found and "route offer" in found
-    # Another deployment has days of its own.
-    other = written(tmp_path, "seconds = 10.0", "seconds = 2.5")
+    # Results of another deployment are not reused.
+    other = write_deployment(tmp_path, "seconds = 10.0", "seconds = 2.5")
     simulate("run", other, SimulateSettings(seeds=1, out=out))
     assert capsys.readouterr().err.count("played") == 1
 
 
-def test_file_of_something_else_is_refused(tmp_path):
+def test_invalid_results_file_is_refused(tmp_path):
     out = tmp_path / "rows.jsonl"
     out.write_text("what\n")
     settings = SimulateSettings(out=str(out))
     with pytest.raises(LacewingdockError) as caught:
-        simulate("run", written(tmp_path), settings)
+        simulate("run", write_deployment(tmp_path), settings)
     assert caught.value.kind is ErrorKind.BAD_SETTING
 
 
 def day(policy, seed, *credits):
-    """Return a day of one request a second."""
+    """Return a day with one request a second, which earn `credits`."""
     rows = [
         Row("r", float(at), Outcome.ON_TIME, 1.0, credit, 0.1, 2.0)
         for at, credit in enumerate(credits)
@@ -96,6 +98,6 @@
     found = {one.name: one for one in compare(before, after)}
     credit = found["credit"]
     assert (credit.before, credit.after) == (0.5, 0.75)
-    # Each seed gained as much, so the days' scatter says nothing.
+    # All seeds gained the same, so the variance between days does not count.
     assert credit.error == 0.0
     assert found["second 0"].after == 0.75
--- a/tests/lab/test_engine.py
+++ b/tests/lab/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the model of an engine."""
+"""Tests of the simulated engine."""
 
 import pytest
 import simpy
@@ -10,7 +10,7 @@
 
 
 def engine(**changes):
-    """Return a simulation and an engine that reads 100 tokens in a ms."""
+    """Return an environment and an engine that reads 100 tokens in a ms."""
     fields = {
         "per_domain": 1,
         "slots": 2,
@@ -28,7 +28,7 @@
 
 
 def run(env, call="c", *, own=1000, remaining=20, shared=0, priority=1):
-    """Return a request."""
+    """Return a run of a request, not yet submitted."""
     return EngineRun(
         call,
         LARGE,
@@ -42,8 +42,8 @@
     )
 
 
-def times(env, one):
-    """Return when a request began and ended."""
+def run_times(env, one):
+    """Return the times of a run's first event and end."""
     found = []
     for event in (one.began, one.ended):
         event.callbacks.append(lambda _: found.append(round(env.now, 3)))
@@ -54,21 +54,21 @@
 @pytest.mark.parametrize(
     ("own", "remaining", "began", "ended"),
     [
-        # A step of 10 ms that reads 1,000 tokens, then one for each token.
+        # A step of 10 ms reads 1,000 tokens; each further one generates one.
         (1000, 20, 0.07, 0.22),
         (3000, 20, 0.11, 0.26),
-        # An answer shorter than an event ends with its first.
+        # An answer shorter than an event ends with its first event.
         (1000, 3, 0.05, 0.05),
     ],
 )
-def test_time_of_a_request_alone(own, remaining, began, ended):
+def test_times_of_a_single_request(own, remaining, began, ended):
     env, one = engine()
     request = run(env, own=own, remaining=remaining)
     assert one.submit(request)
-    assert times(env, request) == pytest.approx([began, ended], abs=0.011)
+    assert run_times(env, request) == pytest.approx([began, ended], abs=0.011)
 
 
-def test_shared_part_is_read_once():
+def test_shared_prefix_is_read_once():
     env, one = engine()
     first, second = run(env, shared=8000), run(env, shared=8000)
     one.submit(first)
@@ -77,7 +77,7 @@
     assert (first.unread, second.unread) == (0, 1000)
 
 
-def test_places_queue_and_ranks():
+def test_slots_queue_and_priorities():
     env, one = engine()
     late = run(env, "late", priority=5)
     found = [run(env, str(n)) for n in range(2)]
@@ -92,7 +92,7 @@
     assert not one.running and not one.waiting
 
 
-def test_memory_holds_no_more_than_fits():
+def test_running_requests_fit_into_memory():
     env, one = engine(memory_tokens=2500, slots=8, queue=8)
     for number in range(4):
         one.submit(run(env, str(number), own=1000, remaining=100))
@@ -103,7 +103,7 @@
     assert not one.waiting
 
 
-def test_loss_of_power_ends_all():
+def test_power_loss_ends_all_runs():
     env, one = engine()
     found = [run(env, str(n)) for n in range(2)]
     for each in found:
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -1,4 +1,4 @@
-"""Tests of played days."""
+"""Tests of simulated days."""
 
 import pytest
 
@@ -46,7 +46,7 @@
 def test_calm_day_is_served(policy):
     day = play(deployment(), policy, 1)
     assert day.outcome_share(Outcome.ON_TIME) > 0.95
-    # Nothing is refused or fails while places are free.
+    # No request is refused or fails while engines have free slots.
     assert (
         day.outcome_share(Outcome.REFUSED)
         == day.outcome_share(Outcome.FAILED)
@@ -60,7 +60,7 @@
     day = simulation.run()
     callers = sum(20.0 * 10.0 for _ in SMALL["traffic"])
     assert callers * 0.8 < len(day.rows) < callers * 1.7
-    # Nothing is left at an engine or counted at one.
+    # No request remains at an engine or in a router's counts.
     for engine in simulation.engines.values():
         assert not engine.running and not engine.waiting
     for router in simulation.routers.values():
@@ -75,25 +75,25 @@
     assert all(credit_share(rows) > 0.9 for rows in last)
 
 
-def test_cold_engines_get_no_more_than_they_bear():
-    """What is allowed in a second: 10 times 1.5 and 5 more."""
+def test_cold_engines_stay_within_bound():
+    """The bound for a second is 20 requests: 10 times 1.5, plus 5."""
     faults = [FAULTS["all"], {**FAULTS["cordon"], "at_s": 6.0, "for_s": 2.0}]
     traffic = [{**SMALL["traffic"][0], "per_s": 60.0}]
     day = play(deployment(faults=faults, traffic=traffic), ROUTER, 3)
     assert 0 < day.cold_most <= 20
 
 
-def test_cold_engines_get_more_without_slow_start():
-    """The bound is not kept by chance: without slow start it breaks."""
+def test_cold_engines_exceed_bound_without_slow_start():
+    """Without slow start the bound breaks, so it is not kept by chance."""
     traffic = [{**SMALL["traffic"][0], "per_s": 90.0}]
     faults = [FAULTS["all"]]
-    most = [
+    peaks = [
         play(
             deployment(faults=faults, traffic=traffic), POLICIES[name], 3
         ).cold_most
         for name in ("router", "no-slow-start")
     ]
-    assert most[0] <= 20 < most[1]
+    assert peaks[0] <= 20 < peaks[1]
 
 
 def test_same_seed_same_day():
@@ -102,20 +102,22 @@
     assert play(deployment(), ROUTER, 6) != found[0]
 
 
-def test_dead_starts_are_met_less_where_they_are_left_for_good():
+def test_replaced_engines_get_fewer_attempts():
     faults = [FAULTS["all"]]
-    met = [
+    turned_away_counts = [
         play(deployment(faults=faults), POLICIES[name], 1).turned_away
         for name in ("router", "dead-starts")
     ]
-    assert 0 < met[0] < met[1]
+    assert 0 < turned_away_counts[0] < turned_away_counts[1]
 
 
-@pytest.mark.parametrize(("share_of_all", "served"), [(0.5, 0.9), (1.0, 0.3)])
-def test_limited_engines_get_no_more_than_they_take(share_of_all, served):
-    """What is allowed in 4 s: 2 a second 1.5 times and 5 more, that is 17.
+@pytest.mark.parametrize(
+    ("share_of_all", "min_credit"), [(0.5, 0.9), (1.0, 0.3)]
+)
+def test_limited_engines_stay_within_limit(share_of_all, min_credit):
+    """The bound for 4 s is 17 requests: 2 a second times 1.5, plus 5.
 
-    Without the bound engines that are in need get as much as all others.
+    Without the bound limited engines get as many requests as the others.
     """
     faults = [{**FAULTS["limits"], "share": share_of_all, "for_s": 12.0}]
     days = [
@@ -123,16 +125,17 @@
         for name in ("router", "no-signals")
     ]
     assert 0 < days[0].limited_most <= 17 < days[1].limited_most
-    assert days[0].credit >= served
+    assert days[0].credit >= min_credit
 
 
 @pytest.mark.parametrize("fault", ["rest", "leaving"])
-def test_engines_that_want_nothing_get_next_to_nothing(fault):
-    """Guards against: engines that want no requests and get them all.
+def test_resting_and_leaving_engines_get_few_requests(fault):
+    """Guards against: resting or leaving engines that still get all requests.
 
-    Sequence: two of four engines turn all away for 6 s and want 1.5 s of rest
-    each time, or say that they leave. Four routers may ask each of them once
-    in a rest, and have some under way as they are told.
+    Sequence: two of four engines refuse all requests for 6 s and ask for 1.5 s
+    of rest each time, or announce that they are leaving. Each of the four
+    routers may send an engine one request per rest, and may have requests in
+    flight when it receives the announcement.
     """
     days, unwanted = [], []
     for name in ("router", "no-signals"):
--- a/tests/timeline.py
+++ b/tests/timeline.py
@@ -1,4 +1,4 @@
-"""Calls in virtual time, one after the other."""
+"""Discrete-event queue: runs scheduled calls in virtual time."""
 
 import heapq
 import itertools
@@ -6,11 +6,11 @@
 
 
 class Timeline:
-    """A clock, and the calls that are due.
+    """A virtual clock and a queue of scheduled calls.
 
     Attributes:
-        time: Seconds since the start.
-        draw: Source of all draws.
+        time: Virtual seconds since the start.
+        rng: Random generator of the simulation.
     """
 
     def __init__(self, seed):
@@ -20,21 +20,21 @@
         self._queue = []
 
     def now(self):
-        """Return the time, as `Clock`."""
+        """Return the virtual time, as `Clock` does."""
         return self.time
 
     def after(self, seconds, call, *args):
-        """Call something later."""
+        """Schedule a call after a delay."""
         at = self.time + seconds
         heapq.heappush(self._queue, (at, next(self._numbers), call, args))
 
     def steps(self, until):
-        """Let time pass; yield after each call."""
+        """Run the scheduled calls until a time; yield after each call."""
         while self._queue and self._queue[0][0] <= until:
             self.time, _, call, args = heapq.heappop(self._queue)
             call(*args)
             yield
 
     def random_delay(self, longest_s):
-        """Return how long a way takes."""
+        """Return a random network delay in seconds, at least 1 ms."""
         return self.rng.uniform(0.001, longest_s)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,7 +1,8 @@
-"""Tasks in a time that passes only while all of them sleep.
+"""Deterministic scheduler of threads on a virtual clock.
 
-Each task is a thread, one of which runs at a time: the same tasks do the same
-in each run, and minutes pass in milliseconds.
+Virtual time advances only while all tasks sleep. Each task is a thread, and
+only one runs at a time, so that every run has the same interleaving and minutes
+pass in milliseconds.
 """
 
 import heapq
@@ -10,14 +11,14 @@
 
 
 class TimeExpired(BaseException):
-    """The time is over; raised in each task that sleeps."""
+    """Raised in each sleeping task to end it after the run."""
 
 
 class VirtualTime:
-    """A clock and the tasks that live by it.
+    """A virtual clock and the tasks that it schedules.
 
     Attributes:
-        time: Seconds since the start.
+        time: Virtual seconds since the start.
     """
 
     def __init__(self):
@@ -31,16 +32,16 @@
         self._errors = []
 
     def now(self):
-        """Return the time."""
+        """Return the virtual time, in seconds."""
         return self.time
 
     def wait(self, event, seconds):
-        """Sleep; return whether an event is set then."""
+        """Sleep; return whether the event is set afterwards."""
         self.sleep(seconds)
         return event.is_set()
 
     def sleep(self, seconds):
-        """Let time pass for the task that calls."""
+        """Suspend the calling task for a span of virtual time."""
         turn = self._local.turn
         self._schedule(self.time + seconds, turn)
         self._running.release()
@@ -49,7 +50,7 @@
             raise TimeExpired
 
     def start(self, function, *args):
-        """Add a task that starts now."""
+        """Add a task that starts at the current virtual time."""
         turn = threading.Semaphore(0)
 
         def run():
@@ -71,10 +72,10 @@
         thread.start()
 
     def run(self, until):
-        """Let time pass, then end all tasks.
+        """Run the tasks until a virtual time, then end all of them.
 
         Raises:
-            Exception: What a task raised.
+            Exception: The first exception that a task raised.
         """
         while self._queue and self._queue[0][0] <= until and not self._errors:
             self.time, _, turn = heapq.heappop(self._queue)
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -1,11 +1,11 @@
-"""Waiting for what other tasks or processes bring about."""
+"""Polling for conditions that other threads or processes fulfil."""
 
 import time
 
 
 def wait(condition, timeout_s=20.0):
-    """Wait until a condition holds; fail where it does not in time."""
+    """Poll a condition until it holds; fail after a timeout."""
     end = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < end, "did not come about in time"
+        assert time.monotonic() < end, "condition did not hold in time"
         time.sleep(0.02)
