--- a/lacewingdock/components/inspection/exposition.py
+++ b/lacewingdock/components/inspection/exposition.py
@@ -47,25 +47,25 @@
 
     def collect(self) -> Iterator[Metric]:
         """Yield the metrics with their current values."""
-        found = self.metrics.copy()
+        counters = self.metrics.copy()
         yield _counter(
             "lacewingdock_gateway_requests",
             "Requests by service, contract of repetition, rank and outcome",
             RequestLabels._fields,
-            found.requests,
+            counters.requests,
         )
         yield _counter(
             "lacewingdock_gateway_attempts",
             "Attempts by state of the upstream instance before, and result",
             AttemptLabels._fields,
-            found.attempts,
+            counters.attempts,
         )
         seconds = HistogramMetricFamily(
             "lacewingdock_gateway_request_seconds",
             "Seconds from a whole request to the end of its answer",
             labels=TimeLabels._fields,
         )
-        for when, times in found.seconds.items():
+        for when, times in counters.seconds.items():
             seconds.add_metric(when, _cumulative_buckets(times), times.total_s)
         yield seconds
 
@@ -103,10 +103,10 @@
     counts: Mapping[Any, int],
 ) -> Metric:
     """Return a counter metric, with a sample for each set of label values."""
-    found = CounterMetricFamily(name, text, labels=labels)
+    family = CounterMetricFamily(name, text, labels=labels)
     for values, count in counts.items():
-        found.add_metric(values, count)
-    return found
+        family.add_metric(values, count)
+    return family
 
 
 def _cumulative_buckets(times: DurationHistogram) -> list[tuple[str, float]]:
--- a/lacewingdock/components/inspection/gather.py
+++ b/lacewingdock/components/inspection/gather.py
@@ -29,8 +29,8 @@
 
 def left_s(until: float) -> float | None:
     """Return the seconds until a monotonic time; None if it has passed."""
-    found = until - time.monotonic()
-    return round(found, 3) if found > 0 else None
+    seconds = until - time.monotonic()
+    return round(seconds, 3) if seconds > 0 else None
 
 
 def gather_copies(mirrors: Iterable[Mirror]) -> list[CopyState]:
@@ -51,7 +51,7 @@
 ) -> list[UpstreamState]:
     """Return the state of each upstream instance, by service and id."""
     now = time.monotonic()
-    found = [
+    states = [
         UpstreamState(
             upstream=one.entry.id,
             service=one.entry.service,
@@ -70,7 +70,7 @@
         )
         for one in list(directory.instances.values())
     ]
-    return sorted(found, key=lambda one: (one.service, one.upstream))
+    return sorted(states, key=lambda one: (one.service, one.upstream))
 
 
 def gather_services(gateway: Gateway) -> list[ServiceState]:
--- a/lacewingdock/components/story/__init__.py
+++ b/lacewingdock/components/story/__init__.py
@@ -55,7 +55,7 @@
     Text before the first brace of a line is ignored, such as the prefix of a
     log collector. Lines without valid JSON or without a time are skipped.
     """
-    found = []
+    parsed = []
     for raw in text:
         start = raw.find("{")
         if start < 0:
@@ -67,8 +67,8 @@
             continue
         fields = {k: v for k, v in line.items() if k not in _COMMON_FIELDS}
         router = str(line.get("instance", ""))
-        found.append(LogLine(at, router, str(line.get("message", "")), fields))
-    return sorted(found, key=lambda line: line.time)
+        parsed.append(LogLine(at, router, str(line.get("message", "")), fields))
+    return sorted(parsed, key=lambda line: line.time)
 
 
 def trace_request(lines: list[LogLine], request: str) -> str:
@@ -110,7 +110,7 @@
         since: Earliest time of day, as "HH:MM:SS"; empty for no bound.
         until: Latest time of day, as "HH:MM:SS"; empty for no bound.
     """
-    found = [
+    requests = [
         line
         for line in lines
         if line.message == _REQUEST_FIELD
@@ -118,7 +118,7 @@
         and since <= line.time.time().isoformat()
         and (not until or line.time.time().isoformat() <= until)
     ]
-    return "\n".join(str(line) for line in found) or "no request"
+    return "\n".join(str(line) for line in requests) or "no request"
 
 
 def _context_lines(lines: list[LogLine], own: list[LogLine]) -> list[LogLine]:
--- a/lacewingdock/lab/command.py
+++ b/lacewingdock/lab/command.py
@@ -17,7 +17,7 @@
     day_table,
     difference_table,
 )
-from lacewingdock.lab.simulation import play
+from lacewingdock.lab.simulation import simulate_day
 from lacewingdock.settings import SimulateSettings
 
 # Number of policies that a comparison takes: the baseline, then the candidate.
@@ -67,7 +67,7 @@
     policies: Iterable[Policy],
     settings: SimulateSettings,
 ) -> list[Day]:
-    """Simulate the days that are not stored; return all in order of seed."""
+    """Simulate the days that are not stored; return all by policy and seed."""
     seeds = range(settings.first_seed, settings.first_seed + settings.seeds)
     wanted = [(policy, seed) for policy in policies for seed in seeds]
     out = Path(settings.out) if settings.out else None
@@ -76,9 +76,9 @@
         one for one in wanted if (one[0].name, one[1]) not in played_days
     ]
     with ProcessPoolExecutor(settings.jobs) as pool:
-        plays = [pool.submit(play, deployment, *one) for one in missing]
-        for done in as_completed(plays):
-            day = done.result()
+        runs = [pool.submit(simulate_day, deployment, *one) for one in missing]
+        for future in as_completed(runs):
+            day = future.result()
             played_days[day.policy, day.seed] = day
             _write(out, deployment, day)
             print(f"played {day.policy}, seed {day.seed}", file=sys.stderr)
--- a/lacewingdock/lab/deployment.py
+++ b/lacewingdock/lab/deployment.py
@@ -243,12 +243,12 @@
         raise LacewingdockError(
             ErrorKind.BAD_SETTING, f"{path}: {error}"
         ) from error
-    found = convert_toml(parse_toml(text, path), Deployment, path)
-    for fault in found.faults:
-        if fault.domain and fault.domain not in found.domains:
+    deployment = convert_toml(parse_toml(text, path), Deployment, path)
+    for fault in deployment.faults:
+        if fault.domain and fault.domain not in deployment.domains:
             raise LacewingdockError(
                 ErrorKind.BAD_SETTING,
                 f"{path}: faults.domain is none of domains,"
                 f" not {fault.domain!r}",
             )
-    return found
+    return deployment
--- a/lacewingdock/lab/policy.py
+++ b/lacewingdock/lab/policy.py
@@ -80,12 +80,12 @@
     Raises:
         LacewingdockError: BAD_SETTING, naming the unknown policy.
     """
-    found = []
+    policies = []
     for name in names.split(","):
         if name not in POLICIES:
             raise LacewingdockError(
                 ErrorKind.BAD_SETTING,
                 f"--policies: want any of {', '.join(POLICIES)}, not {name!r}",
             )
-        found.append(POLICIES[name])
-    return found
+        policies.append(POLICIES[name])
+    return policies
--- a/lacewingdock/lab/results.py
+++ b/lacewingdock/lab/results.py
@@ -84,8 +84,8 @@
 
     def outcome_share(self, outcome: Outcome) -> float:
         """Return the share of the requests that ended with an outcome."""
-        found = sum(row.outcome is outcome for row in self.rows)
-        return found / len(self.rows) if self.rows else 0.0
+        count = sum(row.outcome is outcome for row in self.rows)
+        return count / len(self.rows) if self.rows else 0.0
 
 
 def credit_share(rows: Iterable[Row]) -> float:
@@ -97,18 +97,18 @@
 
 def by_window(rows: Iterable[Row]) -> dict[float, list[Row]]:
     """Return the requests by start of the window in which they arrived."""
-    found: defaultdict[float, list[Row]] = defaultdict(list)
+    groups: defaultdict[float, list[Row]] = defaultdict(list)
     for row in rows:
-        found[row.at_s // WINDOW_S * WINDOW_S].append(row)
-    return dict(found)
+        groups[row.at_s // WINDOW_S * WINDOW_S].append(row)
+    return dict(groups)
 
 
 def by_route(rows: Iterable[Row]) -> dict[str, list[Row]]:
     """Return the requests by route."""
-    found: defaultdict[str, list[Row]] = defaultdict(list)
+    groups: defaultdict[str, list[Row]] = defaultdict(list)
     for row in rows:
-        found[row.route].append(row)
-    return dict(found)
+        groups[row.route].append(row)
+    return dict(groups)
 
 
 def day_table(days: Sequence[Day]) -> str:
@@ -186,30 +186,30 @@
     def figure(name: str, of: Callable[[Day], float]) -> Difference:
         return difference(name, [(of(a), of(b)) for a, b in days])
 
-    found = [
+    differences = [
         figure("credit", lambda day: day.credit),
         figure("worst windows", lambda day: day.worst_credit),
         figure("price", lambda day: sum(row.price for row in day.rows)),
         figure("cold most", lambda day: float(day.cold_most)),
     ]
     for route in sorted({row.route for a in before for row in a.rows}):
-        found.append(
+        differences.append(
             figure(
                 f"route {route}",
                 functools.partial(_route_credit_share, route),
             )
         )
     for second in sorted({at for a in before for at in by_window(a.rows)}):
-        found.append(
+        differences.append(
             figure(
                 f"second {second:g}",
                 functools.partial(_window_credit_share, second),
             )
         )
-    return found
+    return differences
 
 
-def difference_table(found: Sequence[Difference]) -> str:
+def difference_table(differences: Sequence[Difference]) -> str:
     """Return differences as a table, one line a metric."""
     columns = ["figure", "before", "after", "difference", "error"]
     cells = [
@@ -220,6 +220,6 @@
             f"{one.after - one.before:+.3f}",
             f"{one.error:.3f}",
         ]
-        for one in found
+        for one in differences
     ]
     return "\n".join(text_table(columns, cells))
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -246,10 +246,12 @@
         """Return the engine for the next attempt; None if none is available."""
         env, traffic = self.world.env, request.traffic
         unread = self._unread(request, cascade)
-        part = MAX_WAIT_SHARE * (1.0 - traffic.priority / (LAST_PRIORITY + 1))
+        wait_share = MAX_WAIT_SHARE * (
+            1.0 - traffic.priority / (LAST_PRIORITY + 1)
+        )
         deadline = request.end - MIN_LEFT_S
         if not progress.sent:
-            deadline = min(deadline, env.now + traffic.goal_s * part)
+            deadline = min(deadline, env.now + traffic.goal_s * wait_share)
         placement_request = PlacementRequest(
             SERVICE,
             VersionRule(),
@@ -259,30 +261,32 @@
             deadline,
         )
         while True:
-            found = self._choose_instance(placement_request)
-            if isinstance(found, NoInstance):
+            choice = self._choose_instance(placement_request)
+            if isinstance(choice, NoInstance):
                 if not progress.sent:
-                    after_s = max(found.after_s or 0.0, RETRY_AFTER_S)
+                    after_s = max(choice.after_s or 0.0, RETRY_AFTER_S)
                     spread = self.rng.uniform(1.0, SPREAD_AFTER)
                     progress.answer.after_s = after_s * spread
                 return None
-            if isinstance(found, UpstreamInstance):
-                return found
-            yield env.timeout(max(found.at - env.now, 0.0))
-            if found.instance.accepts_requests(env.now):
-                return found.instance
-            self.chooser.began(found.instance, unread)
-            self.chooser.done(found.instance)
+            if isinstance(choice, UpstreamInstance):
+                return choice
+            yield env.timeout(max(choice.at - env.now, 0.0))
+            if choice.instance.accepts_requests(env.now):
+                return choice.instance
+            self.chooser.began(choice.instance, unread)
+            self.chooser.done(choice.instance)
 
     def _choose_instance(
         self, placement_request: PlacementRequest
     ) -> UpstreamInstance | Reservation | NoInstance:
         if self.world.policy.choice is not InstanceChoice.RANDOM:
             return find_instance(self.chooser, placement_request)
-        found = [one for one in self.directory.of_service(SERVICE) if one.open]
-        if not found:
+        candidates = [
+            one for one in self.directory.of_service(SERVICE) if one.open
+        ]
+        if not candidates:
             return NoInstance(None)
-        chosen = self.rng.choice(found)
+        chosen = self.rng.choice(candidates)
         chosen.running += 1
         chosen.unread += placement_request.unread
         return chosen
@@ -483,8 +487,8 @@
     def _confidence(self, request: CallerRequest, model: Model) -> float:
         easier = model.quality - request.hardness
         mean = CONFIDENCE_AT_LIMIT + CONFIDENCE_SLOPE * easier
-        found = self.rng.gauss(mean, CONFIDENCE_SCATTER)
-        return min(max(found, 0.0), 100.0)
+        confidence = self.rng.gauss(mean, CONFIDENCE_SCATTER)
+        return min(max(confidence, 0.0), 100.0)
 
 
 def _route(traffic: Traffic, deployment: Deployment) -> Route:
--- a/lacewingdock/lab/simulation.py
+++ b/lacewingdock/lab/simulation.py
@@ -109,7 +109,7 @@
         for fault in self.deployment.faults:
             self.env.process(self._inject_fault(fault))
         self.env.run(self.deployment.seconds + DRAIN_S)
-        self._count_cold(self.engines.values())
+        self._record_cold_peaks(self.engines.values())
         return Day(
             self.policy.name,
             self.seed,
@@ -180,7 +180,7 @@
         engine = self.engines[host]
         if engine is None:
             return
-        self._count_cold([engine])
+        self._record_cold_peaks([engine])
         engine.lose_power()
         self.engines[host] = None
         self.env.process(self._expire_entry(engine.name))
@@ -275,8 +275,8 @@
         names = sorted(self.routers)
         answer = Answer()
         for number in range(request.traffic.retries + 1):
-            # Callers are spread unevenly over the routers, and each retry goes
-            # to another router.
+            # Callers are spread unevenly over the routers, and retry at another
+            # router.
             index = (
                 int(router_draw * router_draw * len(names)) + 7 * number
             ) % len(names)
@@ -348,31 +348,31 @@
                 yield self.env.timeout(fault.for_s)
                 self._rate_factor /= fault.factor
             case FaultKind.ENGINES_LOST:
-                yield from self._engines_lost(
+                yield from self._lose_engines(
                     self._sample_hosts(fault), fault.for_s
                 )
             case FaultKind.ROUTERS_LOST:
-                yield from self._routers_lost(fault.for_s)
+                yield from self._lose_routers(fault.for_s)
             case FaultKind.ALL_LOST:
                 self.env.process(
-                    self._engines_lost(list(self.engines), fault.for_s)
+                    self._lose_engines(list(self.engines), fault.for_s)
                 )
-                yield from self._routers_lost(fault.for_s)
+                yield from self._lose_routers(fault.for_s)
             case FaultKind.CORDON:
-                yield from self._cordon(fault)
+                yield from self._cordon_domain(fault)
             case FaultKind.ENGINES_LIMITED:
-                yield from self._engines_limited(fault)
+                yield from self._limit_engines(fault)
             case FaultKind.ENGINES_RESTING:
-                yield from self._engines_resting(fault)
+                yield from self._rest_engines(fault)
             case FaultKind.ENGINES_LEAVING:
-                yield from self._engines_leaving(fault)
+                yield from self._announce_leaving(fault)
 
     def _sample_hosts(self, fault: Fault) -> list[str]:
         hosts = sorted(self.engines)
         count = round(fault.share * len(hosts))
         return self._rng.sample(hosts, count)
 
-    def _engines_lost(self, hosts: list[str], for_s: float) -> Steps:
+    def _lose_engines(self, hosts: list[str], for_s: float) -> Steps:
         for host in hosts:
             self._lose_engine(host)
         yield self.env.timeout(for_s)
@@ -380,30 +380,30 @@
         for host in hosts:
             self._start_engine(host, cold=True, listed_after_s=late_s)
 
-    def _engines_limited(self, fault: Fault) -> Steps:
-        found = [self.engines[host] for host in self._sample_hosts(fault)]
-        for engine in found:
+    def _limit_engines(self, fault: Fault) -> Steps:
+        affected = [self.engines[host] for host in self._sample_hosts(fault)]
+        for engine in affected:
             if engine is not None:
                 engine.limit_per_s = fault.per_s
                 engine.limited_from = self.env.now
         yield self.env.timeout(fault.for_s)
-        for engine in found:
+        for engine in affected:
             if engine is not None:
                 engine.limit_per_s = None
                 self.limited_most = max(self.limited_most, engine.limited.peak)
 
-    def _engines_resting(self, fault: Fault) -> Steps:
-        found = [self.engines[host] for host in self._sample_hosts(fault)]
-        for engine in found:
+    def _rest_engines(self, fault: Fault) -> Steps:
+        affected = [self.engines[host] for host in self._sample_hosts(fault)]
+        for engine in affected:
             if engine is not None:
                 engine.rest_s = fault.rest_s
         yield self.env.timeout(fault.for_s)
-        for engine in found:
+        for engine in affected:
             if engine is not None:
                 engine.rest_s = None
                 self.unwanted += engine.unwanted
 
-    def _engines_leaving(self, fault: Fault) -> Steps:
+    def _announce_leaving(self, fault: Fault) -> Steps:
         hosts = self._sample_hosts(fault)
         for host in hosts:
             if (engine := self.engines[host]) is not None:
@@ -412,16 +412,16 @@
         for host in hosts:
             if (engine := self.engines[host]) is not None:
                 self.unwanted += engine.unwanted
-        yield from self._engines_lost(hosts, fault.for_s)
+        yield from self._lose_engines(hosts, fault.for_s)
 
-    def _routers_lost(self, for_s: float) -> Steps:
+    def _lose_routers(self, for_s: float) -> Steps:
         for router in self.routers.values():
             router.lose_power()
         yield self.env.timeout(for_s + self.deployment.start_s)
         for name, router in list(self.routers.items()):
             self._start_router(name, router.domain)
 
-    def _cordon(self, fault: Fault) -> Steps:
+    def _cordon_domain(self, fault: Fault) -> Steps:
         domain = fault.domain or self.deployment.domains[0]
         self._cordoned.add(domain)
         self._set_cordons()
@@ -436,7 +436,7 @@
         for router in self.routers.values():
             router.directory.cordon(frozenset(self._cordoned))
 
-    def _count_cold(self, engines: Any) -> None:
+    def _record_cold_peaks(self, engines: Any) -> None:
         for engine in engines:
             if engine is not None:
                 self.cold_most = max(self.cold_most, engine.cold.peak)
@@ -448,6 +448,6 @@
     return max(round(rng.lognormvariate(mu, spread.sigma)), 1)
 
 
-def play(deployment: Deployment, policy: Policy, seed: int) -> Day:
+def simulate_day(deployment: Deployment, policy: Policy, seed: int) -> Day:
     """Simulate a day of a deployment and return its results."""
     return Simulation(deployment, policy, seed).run()
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -4,7 +4,7 @@
 
 from lacewingdock.lab.policy import POLICIES
 from lacewingdock.lab.results import Outcome, by_window, credit_share
-from lacewingdock.lab.simulation import Simulation, play
+from lacewingdock.lab.simulation import Simulation, simulate_day
 from tests.lab.small_deployment import SMALL, deployment
 
 ROUTER = POLICIES["router"]
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("policy", POLICIES.values(), ids=lambda one: one.name)
 def test_calm_day_is_served(policy):
-    day = play(deployment(), policy, 1)
+    day = simulate_day(deployment(), policy, 1)
     assert day.outcome_share(Outcome.ON_TIME) > 0.95
     # No request is refused or fails while engines have free slots.
     assert (
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("fault", FAULTS.values(), ids=FAULTS.keys())
 def test_service_recovers(fault):
-    day = play(deployment(faults=[fault], seconds=14.0), ROUTER, 2)
+    day = simulate_day(deployment(faults=[fault], seconds=14.0), ROUTER, 2)
     last = [rows for at, rows in by_window(day.rows).items() if at >= 10.0]
     assert all(credit_share(rows) > 0.9 for rows in last)
 
@@ -79,7 +79,7 @@
     """The bound for a second is 20 requests: 10 times 1.5, plus 5."""
     faults = [FAULTS["all"], {**FAULTS["cordon"], "at_s": 6.0, "for_s": 2.0}]
     traffic = [{**SMALL["traffic"][0], "per_s": 60.0}]
-    day = play(deployment(faults=faults, traffic=traffic), ROUTER, 3)
+    day = simulate_day(deployment(faults=faults, traffic=traffic), ROUTER, 3)
     assert 0 < day.cold_most <= 20
 
 
@@ -88,7 +88,7 @@
     traffic = [{**SMALL["traffic"][0], "per_s": 90.0}]
     faults = [FAULTS["all"]]
     peaks = [
-        play(
+        simulate_day(
             deployment(faults=faults, traffic=traffic), POLICIES[name], 3
         ).cold_most
         for name in ("router", "no-slow-start")
@@ -97,15 +97,15 @@
 
 
 def test_same_seed_same_day():
-    found = [play(deployment(), ROUTER, 5) for _ in range(2)]
+    found = [simulate_day(deployment(), ROUTER, 5) for _ in range(2)]
     assert found[0] == found[1]
-    assert play(deployment(), ROUTER, 6) != found[0]
+    assert simulate_day(deployment(), ROUTER, 6) != found[0]
 
 
 def test_replaced_engines_get_fewer_attempts():
     faults = [FAULTS["all"]]
     turned_away_counts = [
-        play(deployment(faults=faults), POLICIES[name], 1).turned_away
+        simulate_day(deployment(faults=faults), POLICIES[name], 1).turned_away
         for name in ("router", "dead-starts")
     ]
     assert 0 < turned_away_counts[0] < turned_away_counts[1]
@@ -121,7 +121,7 @@
     """
     faults = [{**FAULTS["limits"], "share": share_of_all, "for_s": 12.0}]
     days = [
-        play(deployment(faults=faults, seconds=14.0), POLICIES[name], 3)
+        simulate_day(deployment(faults=faults, seconds=14.0), POLICIES[name], 3)
         for name in ("router", "no-signals")
     ]
     assert 0 < days[0].limited_most <= 17 < days[1].limited_most
