--- a/lacewingdock/lab/deployment.py
+++ b/lacewingdock/lab/deployment.py
@@ -119,8 +119,7 @@
         late_worth: Credit of an answer that is late.
         priority: Priority of the requests; 0 is the highest.
         attempts: Maximum number of instances that a request is sent to.
-        retries: Maximum number of times that a caller sends a refused request
-            again.
+        retries: Maximum number of times that a caller sends a request again.
     """
 
     name: str
--- a/lacewingdock/lab/simulation.py
+++ b/lacewingdock/lab/simulation.py
@@ -270,7 +270,7 @@
     def _send_request(
         self, request: CallerRequest, router_draw: float
     ) -> Steps:
-        """Send a request as its caller does, with retries when refused."""
+        """Send a request; retry if it is refused or its router fails."""
         began, price = self.env.now, 0.0
         names = sorted(self.routers)
         answer = Answer()
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -112,11 +112,11 @@
         if outcome == "late":
             self.late.append((collection, name, value, expect, writer))
         if outcome in ("dropped", "late"):
-            raise _answer_lost()
+            raise _lost_answer_error()
         stored = self._apply(collection, name, value, expect, writer)
         if self.lose_answers > 0 or outcome == "lost":
             self.lose_answers -= outcome != "lost"
-            raise _answer_lost()
+            raise _lost_answer_error()
         return copy.deepcopy(stored)
 
     def apply_late_write(self) -> None:
@@ -141,7 +141,7 @@
         return stored
 
 
-def _answer_lost() -> LacewingdockError:
+def _lost_answer_error() -> LacewingdockError:
     return LacewingdockError(
         ErrorKind.PLATFORM_UNAVAILABLE, "answer lost", ran="unknown"
     )
