--- a/lacewingdock/components/inspection/exposition.py
+++ b/lacewingdock/components/inspection/exposition.py
@@ -1,6 +1,6 @@
-"""Support for a router's metrics in Prometheus' text.
+"""Exposition of a router's metrics in Prometheus' text format.
 
-Loaded when metrics are asked for first; see `gateway/metrics.py`.
+Imported at the first request for metrics; see `gateway/metrics.py`.
 """
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
@@ -24,49 +24,49 @@
     RequestLabels,
     TimeLabels,
 )
-from lacewingdock.components.inspection.beliefs import Beliefs
 from lacewingdock.components.inspection.state import RouterState
+from lacewingdock.components.inspection.state_collector import StateCollector
 from lacewingdock.platform.metrics import PlatformCalls
 from lacewingdock.platform.object_api import ObjectApi
 
-_BOUNDS: Final = (*(str(bound) for bound in BUCKETS_S), "+Inf")
+_BUCKET_BOUNDS: Final = (*(str(bound) for bound in BUCKETS_S), "+Inf")
 
 
-class Requests(Collector):
-    """Collects the counts of requests and attempts.
+class RequestCollector(Collector):
+    """Collects the counters of requests and attempts.
 
     Attributes:
-        metrics: The counts.
+        metrics: The counters of the gateway.
     """
 
     __slots__ = ("metrics",)
 
     def __init__(self, metrics: GatewayMetrics) -> None:
-        """Take the counts."""
+        """Build a collector of a gateway's counters."""
         self.metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the counts as they are now."""
-        found = self.metrics.copy()
+        """Yield the metrics with their current values."""
+        counters = self.metrics.copy()
         yield _counter(
             "lacewingdock_gateway_requests",
             "Requests by service, contract of repetition, rank and outcome",
             RequestLabels._fields,
-            found.requests,
+            counters.requests,
         )
         yield _counter(
             "lacewingdock_gateway_attempts",
             "Attempts by state of the upstream instance before, and result",
             AttemptLabels._fields,
-            found.attempts,
+            counters.attempts,
         )
         seconds = HistogramMetricFamily(
             "lacewingdock_gateway_request_seconds",
             "Seconds from a whole request to the end of its answer",
             labels=TimeLabels._fields,
         )
-        for when, times in found.seconds.items():
-            seconds.add_metric(when, _buckets(times), times.total_s)
+        for when, times in counters.seconds.items():
+            seconds.add_metric(when, _cumulative_buckets(times), times.total_s)
         yield seconds
 
 
@@ -74,7 +74,7 @@
     """Renders all metrics of a router.
 
     Attributes:
-        registry: The collectors.
+        registry: The registered collectors.
     """
 
     __slots__ = ("registry",)
@@ -85,14 +85,14 @@
         metrics: GatewayMetrics,
         api: ObjectApi,
     ) -> None:
-        """Register what is collected."""
+        """Register the collectors of a router's metrics."""
         self.registry = CollectorRegistry()
-        self.registry.register(Beliefs(state))
-        self.registry.register(Requests(metrics))
+        self.registry.register(StateCollector(state))
+        self.registry.register(RequestCollector(metrics))
         self.registry.register(PlatformCalls(api))
 
     def render(self) -> tuple[str, bytes]:
-        """Return media type and text of all metrics as they are now."""
+        """Return media type and text of all metrics with current values."""
         return CONTENT_TYPE_LATEST, generate_latest(self.registry)
 
 
@@ -102,13 +102,13 @@
     labels: Sequence[str],
     counts: Mapping[Any, int],
 ) -> Metric:
-    """Return a counter with the counts by the values of its labels."""
-    found = CounterMetricFamily(name, text, labels=labels)
+    """Return a counter metric, with a sample for each set of label values."""
+    family = CounterMetricFamily(name, text, labels=labels)
     for values, count in counts.items():
-        found.add_metric(values, count)
-    return found
+        family.add_metric(values, count)
+    return family
 
 
-def _buckets(times: DurationHistogram) -> list[tuple[str, float]]:
-    """Return bounds and counts up to each."""
-    return list(zip(_BOUNDS, accumulate(times.counts), strict=True))
+def _cumulative_buckets(times: DurationHistogram) -> list[tuple[str, float]]:
+    """Return the upper bound and cumulative count of each bucket."""
+    return list(zip(_BUCKET_BOUNDS, accumulate(times.counts), strict=True))
--- a/lacewingdock/lab/engine.py
+++ b/lacewingdock/lab/engine.py
@@ -1,4 +1,4 @@
-"""A model of an engine that batches requests."""
+"""Model of an inference engine with continuous batching."""
 
 import math
 from collections import OrderedDict, deque
@@ -11,30 +11,31 @@
 from lacewingdock.components.pacing.const import COLD_SPAN_S, LIMIT_SPAN_S
 from lacewingdock.lab.deployment import Engines, Model
 
-# From when it names a limit, requests are counted after this: the routers have
-# told each other by then.
-TOLD_S: Final = 3.0
+# Seconds from the announcement of a rate limit until requests are counted
+# against it; the limit has reached all routers by then.
+LIMIT_PROPAGATION_S: Final = 3.0
 
 Steps = Generator[simpy.Event, Any, None]
 
 
 @dataclass(slots=True, eq=False)
-class Run:
-    """A request at an engine.
+class EngineRun:
+    """The run of a request on an engine.
 
     Attributes:
-        call: Its id.
+        call: Id of the request.
         model: The model that answers.
-        subject: Shared part of its prompt.
-        shared_tokens: Tokens of that.
+        subject: Id of the shared prompt prefix.
+        shared_tokens: Tokens of the shared prefix.
         own_tokens: Tokens of the rest of the prompt.
-        left: Tokens that are still to be made.
-        priority: Its rank.
-        began: Succeeds with the first event; with False if it never comes.
-        ended: Succeeds with whether the answer is whole.
-        unread: Tokens of the prompt that are still to be read.
-        made: Tokens made.
-        longest_gap_s: Longest pause between two events.
+        remaining: Tokens that are still to be generated.
+        priority: Priority of the request; 0 is the highest.
+        began: Succeeds with True at the first event of the answer, with False
+            if the run ends without an event.
+        ended: Succeeds with whether the answer is complete.
+        unread: Prompt tokens that are still to be read.
+        generated: Tokens generated.
+        longest_gap_s: Longest pause between two events, in seconds.
     """
 
     call: str
@@ -42,73 +43,82 @@
     subject: str
     shared_tokens: int
     own_tokens: int
-    left: int
+    remaining: int
     priority: int
     began: simpy.Event
     ended: simpy.Event
     unread: int = 0
-    made: int = 0
+    generated: int = 0
     longest_gap_s: float = 0.0
 
     @property
     def tokens(self) -> int:
-        """Tokens that it takes in memory."""
-        return self.shared_tokens + self.own_tokens + self.made + self.left
+        """Tokens for which the run needs memory."""
+        return (
+            self.shared_tokens
+            + self.own_tokens
+            + self.generated
+            + self.remaining
+        )
 
-    def finish(self, *, whole: bool) -> None:
-        """Tell that it ended."""
+    def finish(self, *, complete: bool) -> None:
+        """End the run: trigger `began` and `ended` if they are pending."""
         if not self.began.triggered:
-            self.began.succeed(whole)
+            self.began.succeed(complete)
         if not self.ended.triggered:
-            self.ended.succeed(whole)
+            self.ended.succeed(complete)
 
 
 @dataclass(slots=True)
-class Arrivals:
-    """What arrived at an engine while it took few.
+class ArrivalWindow:
+    """Peak number of arrivals at an engine within a sliding window.
 
     Attributes:
-        span_s: Length of the spans that are counted.
-        times: Arrivals in the last span.
-        most: The most in any span.
+        span_s: Length of the window in seconds.
+        times: Times of the arrivals in the current window.
+        peak: Largest number of arrivals in any window.
     """
 
     span_s: float
     times: deque[float] = field(default_factory=deque)
-    most: int = 0
+    peak: int = 0
 
     def add(self, now: float) -> None:
-        """Count an arrival."""
+        """Count an arrival at a time."""
         self.times.append(now)
         while self.times[0] < now - self.span_s:
             self.times.popleft()
-        self.most = max(self.most, len(self.times))
+        self.peak = max(self.peak, len(self.times))
 
 
 class Engine:
     """One start of an engine.
 
     Attributes:
-        env: The simulation.
-        spec: What engines are like.
-        name: Its id.
-        cold_until: Time up to which it is cold.
-        alive: Whether it runs.
-        running: Requests that run.
-        waiting: Requests that wait, the first to run first.
-        cold: What came while it was cold.
-        limit_per_s: Requests a second that it says that it takes; None where
-            it names no limit.
-        limited: What came while it named one, once all were told.
-        limited_from: Time from which it names it.
-        rest_s: Seconds of rest that it wants as it turns all away; None while
-            it takes requests.
-        leaving: Whether it says that it leaves.
-        unwanted: Requests that reached it though it wanted none.
+        env: The simulation environment.
+        spec: Properties of the engine.
+        name: Id of this start.
+        cold_until: Time until which the engine is cold.
+        alive: Whether the engine has power.
+        running: Runs in progress.
+        waiting: Queued runs, in the order in which they will start.
+        cold: Arrivals while the engine was cold.
+        limit_per_s: Announced limit in requests a second; None if the engine
+            announces none.
+        limited: Arrivals while the engine announced a limit, counted once the
+            limit has reached all routers.
+        limited_from: Time at which the limit was announced first.
+        rest_s: Seconds of rest, the backoff asked for with Retry-After, that
+            the engine asks for while it refuses all requests; None while it
+            accepts requests.
+        leaving: Whether the engine announces that it is leaving, draining
+            before a planned stop.
+        unwanted: Requests that arrived while the engine was leaving or asked
+            for rest.
     """
 
     __slots__ = (
-        "_kept",
+        "_prefix_cache",
         "_wake",
         "alive",
         "cold",
@@ -133,62 +143,62 @@
         name: str,
         cold_until: float,
     ) -> None:
-        """Start it."""
+        """Start an engine; its process runs in the environment."""
         self.env = env
         self.spec = spec
         self.name = name
         self.cold_until = cold_until
         self.alive = True
-        self.running: list[Run] = []
-        self.waiting: list[Run] = []
-        self.cold = Arrivals(COLD_SPAN_S)
+        self.running: list[EngineRun] = []
+        self.waiting: list[EngineRun] = []
+        self.cold = ArrivalWindow(COLD_SPAN_S)
         self.limit_per_s: float | None = None
-        self.limited = Arrivals(LIMIT_SPAN_S)
+        self.limited = ArrivalWindow(LIMIT_SPAN_S)
         self.limited_from = 0.0
         self.rest_s: float | None = None
         self.leaving = False
         self.unwanted = 0
-        self._kept: OrderedDict[str, int] = OrderedDict()
+        self._prefix_cache: OrderedDict[str, int] = OrderedDict()
         self._wake = env.event()
         env.process(self._work())
 
-    def submit(self, run: Run) -> bool:
-        """Take a request; return whether there is room for it."""
+    def submit(self, run: EngineRun) -> bool:
+        """Queue a run; return False if the engine refuses it."""
         if self.env.now < self.cold_until:
             self.cold.add(self.env.now)
-        told_at = self.limited_from + TOLD_S
-        if self.limit_per_s is not None and self.env.now >= told_at:
+        counted_from = self.limited_from + LIMIT_PROPAGATION_S
+        if self.limit_per_s is not None and self.env.now >= counted_from:
             self.limited.add(self.env.now)
         self.unwanted += self.leaving or self.rest_s is not None
         if self.rest_s is not None:
             return False
         if len(self.waiting) >= self.spec.queue:
             return False
-        known = self._kept.get(run.subject, 0)
-        run.unread = run.own_tokens + max(run.shared_tokens - known, 0)
+        cached = self._prefix_cache.get(run.subject, 0)
+        run.unread = run.own_tokens + max(run.shared_tokens - cached, 0)
         self.waiting.append(run)
         self.waiting.sort(key=lambda one: one.priority)
         self._notify()
         return True
 
-    def cancel(self, run: Run) -> None:
-        """Drop a request whose caller or router left."""
+    def cancel(self, run: EngineRun) -> None:
+        """Drop a run whose caller or router is gone."""
         for runs in (self.running, self.waiting):
             if run in runs:
                 runs.remove(run)
         self._notify()
 
     def lose_power(self) -> None:
-        """End it, with all that it does."""
+        """Stop the engine at once; all its runs end incomplete."""
         self.alive = False
         for run in self.running + self.waiting:
-            run.finish(whole=False)
+            run.finish(complete=False)
         self.running, self.waiting = [], []
         self._notify()
 
     @property
     def unread(self) -> float:
-        """Thousands of tokens of the largest model that are yet to be read."""
+        """Unread prompt work, in thousands of tokens of the largest model."""
         largest = self.spec.models[-1].pace
         return sum(
             run.unread * run.model.pace / largest / 1000
@@ -208,7 +218,7 @@
                 continue
             reading = next((one for one in self.running if one.unread), None)
             step_s = self._step_s(reading)
-            steps = self._steps(reading)
+            steps = self._steps_to_change(reading)
             began = self.env.now
             yield self.env.timeout(steps * step_s) | self._wake
             done = min(round((self.env.now - began) / step_s), steps)
@@ -224,7 +234,7 @@
                 return
             self.running.append(self.waiting.pop(0))
 
-    def _step_s(self, reading: Run | None) -> float:
+    def _step_s(self, reading: EngineRun | None) -> float:
         step_ms = self.spec.step_ms
         step_ms += self.spec.step_ms_per_running * len(self.running)
         if reading is not None:
@@ -232,10 +242,10 @@
             step_ms += chunk * reading.model.pace / self.spec.read_tokens_per_ms
         return step_ms / 1000
 
-    def _steps(self, reading: Run | None) -> int:
-        """Return after how many steps something changes."""
+    def _steps_to_change(self, reading: EngineRun | None) -> int:
+        """Return the steps until the next event or end of a run."""
         ends = [
-            min(one.left, self._to_event(one))
+            min(one.remaining, self._tokens_to_event(one))
             for one in self.running
             if not one.unread
         ]
@@ -243,35 +253,37 @@
             ends.append(math.ceil(reading.unread / self.spec.chunk_tokens))
         return max(min(ends, default=1), 1)
 
-    def _to_event(self, run: Run) -> int:
-        """Return how many tokens the first event still lacks."""
+    def _tokens_to_event(self, run: EngineRun) -> int:
+        """Return the tokens until the first event; after it, until the end."""
         if run.began.triggered:
-            return run.left
-        return max(self.spec.event_tokens - run.made, 1)
+            return run.remaining
+        return max(self.spec.event_tokens - run.generated, 1)
 
-    def _advance(self, steps: int, step_s: float, reading: Run | None) -> None:
+    def _advance(
+        self, steps: int, step_s: float, reading: EngineRun | None
+    ) -> None:
         gap_s = step_s * self.spec.event_tokens
         for run in list(self.running):
             if run.unread:
                 continue
-            run.made += steps
-            run.left -= steps
+            run.generated += steps
+            run.remaining -= steps
             if run.began.triggered:
                 run.longest_gap_s = max(run.longest_gap_s, gap_s)
-            elif run.made >= self.spec.event_tokens or run.left <= 0:
+            elif run.generated >= self.spec.event_tokens or run.remaining <= 0:
                 run.began.succeed(True)
-            if run.left <= 0:
+            if run.remaining <= 0:
                 self.running.remove(run)
-                self._keep(run)
-                run.finish(whole=True)
+                self._cache_prefix(run)
+                run.finish(complete=True)
         if reading is not None and reading in self.running:
             read = steps * self.spec.chunk_tokens
             reading.unread = max(reading.unread - read, 0)
 
-    def _keep(self, run: Run) -> None:
-        """Keep a shared part; the least recently used ones yield."""
-        self._kept[run.subject] = run.shared_tokens
-        self._kept.move_to_end(run.subject)
+    def _cache_prefix(self, run: EngineRun) -> None:
+        """Cache a run's prompt prefix; evict the least recently used."""
+        self._prefix_cache[run.subject] = run.shared_tokens
+        self._prefix_cache.move_to_end(run.subject)
         used = sum(one.tokens for one in self.running)
-        while sum(self._kept.values()) + used > self.spec.memory_tokens:
-            self._kept.popitem(last=False)
+        while sum(self._prefix_cache.values()) + used > self.spec.memory_tokens:
+            self._prefix_cache.popitem(last=False)
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -1,4 +1,4 @@
-"""A router of the laboratory: the product's decisions, a model's network."""
+"""Simulated router: the product's routing decisions on a simulated network."""
 
 import random
 from collections.abc import Callable, Generator
@@ -44,13 +44,13 @@
     Model,
     Traffic,
 )
-from lacewingdock.lab.engine import Engine, Run
-from lacewingdock.lab.policy import Choice, FirstModel
+from lacewingdock.lab.engine import Engine, EngineRun
+from lacewingdock.lab.policy import FirstModel, InstanceChoice
 from lacewingdock.lab.world import (
     Answer,
-    AskedLoads,
-    Request,
+    CallerRequest,
     SimulatedClock,
+    SimulatedProber,
     World,
 )
 from lacewingdock.world import host
@@ -58,29 +58,30 @@
 from lacewingdock.world.route import Repeat, Route, ServiceLimits, Target
 
 SERVICE: Final = "engines"
-# Confidence of an answer whose request is just not too hard for its model, what
-# each part of the requests that are easier adds to it, and its scatter.
+# Mean confidence, in percent, of an answer to the hardest request that its
+# model can handle, the rise of that mean for each unit by which the model's
+# quality exceeds the hardness, and the standard deviation of the confidence.
 CONFIDENCE_AT_LIMIT: Final = 50.0
 CONFIDENCE_SLOPE: Final = 150.0
 CONFIDENCE_SCATTER: Final = 11.0
-# Tokens that are read cost this part of those that are made.
-READ_PRICE_PART: Final = 0.25
+# Price of a prompt token as a share of the price of a generated token.
+PROMPT_PRICE_SHARE: Final = 0.25
 
 Serving = Generator[simpy.Event, Any, "Answer"]
 
 
-class End(Enum):
+class AttemptEnd(Enum):
     """How an attempt ended.
 
     Attributes:
-        WHOLE: With a whole answer.
-        UNSURE: With an answer that was turned down.
-        UNREACHED: It reached no engine.
-        REPLACED: It met another engine at the address.
-        LOST: Without an answer.
+        COMPLETE: With a complete answer.
+        UNSURE: With an answer that was discarded for its low confidence.
+        UNREACHED: Without a connection to an engine.
+        REPLACED: At another start of an engine at the same address.
+        LOST: Without a complete answer.
     """
 
-    WHOLE = auto()
+    COMPLETE = auto()
     UNSURE = auto()
     UNREACHED = auto()
     REPLACED = auto()
@@ -89,20 +90,20 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """How far a request got.
+    """Progress of a request over all its attempts.
 
     Attributes:
-        tried: Starts of engines that it reached.
-        unreached: Attempts that reached none.
-        sent: Whether an attempt may have run.
-        made: Tokens that were passed on.
-        answer: What its caller gets.
+        tried: Incarnations of the engines that the request reached.
+        unreached: Attempts that reached no engine.
+        sent: Whether an engine may have run the request.
+        generated: Tokens that were passed on to the caller.
+        answer: The answer to the caller.
     """
 
     tried: list[str] = field(default_factory=list)
     unreached: int = 0
     sent: bool = False
-    made: int = 0
+    generated: int = 0
     answer: Answer = field(default_factory=Answer)
 
 
@@ -110,16 +111,17 @@
     """One start of a router.
 
     Attributes:
-        world: What it reaches.
-        name: Its name.
-        domain: Its failure domain.
-        draw: Source of draws.
-        directory: The engines that it knows.
-        chooser: Chooses among them.
-        budgets: Its retry budget.
-        lateness: How late answers begin.
-        alive: Whether it runs.
-        died: Succeeds when it loses power.
+        world: Environment of the router.
+        name: Name of the router.
+        domain: Failure domain of the router.
+        rng: Random generator.
+        directory: The engines listed at this router.
+        chooser: Chooses an engine for a request.
+        budgets: The router's retry budget.
+        limits: Limits and model costs of the simulated service.
+        lateness: Lateness of the answers' first events.
+        alive: Whether the router has power.
+        died: Succeeds when the router loses power.
     """
 
     __slots__ = (
@@ -129,10 +131,10 @@
         "died",
         "directory",
         "domain",
-        "draw",
         "lateness",
         "limits",
         "name",
+        "rng",
         "world",
     )
 
@@ -144,12 +146,12 @@
         names: Callable[[], list[str]],
         seed: int,
     ) -> None:
-        """Start it, knowing nothing."""
+        """Start a router without listed engines."""
         clock = SimulatedClock(world.env)
         self.world = world
         self.name = name
         self.domain = domain
-        self.draw = random.Random(f"{seed}/{name}/{world.env.now}")
+        self.rng = random.Random(f"{seed}/{name}/{world.env.now}")
         engines, bounds = world.deployment.engines, world.deployment.bounds
         self.limits = ServiceLimits(
             SERVICE,
@@ -159,10 +161,13 @@
         )
         self.directory = Directory(clock)
         self.directory.cold_start_s = lambda _: engines.cold_s
-        self.chooser = Chooser(self.directory, domain, self.draw)
-        if world.deployment.sidecars and world.policy.choice is Choice.ASKED:
-            # What the chooser asks of it is what `AskedLoads` has.
-            self.chooser.prober = cast(Prober, AskedLoads(world))
+        self.chooser = Chooser(self.directory, domain, self.rng)
+        if (
+            world.deployment.sidecars
+            and world.policy.choice is InstanceChoice.PROBED
+        ):
+            # The chooser uses only those methods that `SimulatedProber` has.
+            self.chooser.prober = cast(Prober, SimulatedProber(world))
         if world.policy.slow_start:
             self.chooser.pacer = Pacer(
                 name,
@@ -181,7 +186,7 @@
         self.died = world.env.event()
 
     def tick(self, bounds: Bounds) -> None:
-        """Take this router's part of the fleet's retries anew."""
+        """Recompute this router's part of the fleet's retry budget."""
         self.budgets.tick(self._terms(bounds))
 
     def _terms(self, bounds: Bounds) -> RetryTerms:
@@ -191,39 +196,41 @@
         return RetryTerms(bounds.retry_ratio, extra, bounds.retry_window_s)
 
     def budget(self, service: str) -> FleetBudget:
-        """Return the retry budget; there is one service."""
+        """Return the retry budget of the only service."""
         del service
         return self.budgets
 
     def pressure(self, service: str) -> Pressure:
-        """Return how late answers begin; there is one service."""
+        """Return the lateness of answers of the only service."""
         del service
         return self.lateness
 
     def lose_power(self) -> None:
-        """End it; callers see their connections break."""
+        """Stop the router at once; its callers' connections break."""
         self.alive = False
         self.died.succeed()
 
-    def serve(self, request: Request) -> Serving:
-        """Serve a request to its final answer."""
+    def serve(self, request: CallerRequest) -> Serving:
+        """Serve a request, with retries, and return the final answer."""
         call = Call(request.call, b"POST", b"/", "h", "/", any_model=True)
         route = _route(request.traffic, self.world.deployment)
         self.budgets.count_request()
         cascade = Cascade(self, call, route, SERVICE, self.world.env.now)
-        self._first_model(cascade)
+        self._set_first_model(cascade)
         progress = _Progress()
         while True:
-            instance = yield from self._placed(request, cascade, progress)
+            instance = yield from self._await_instance(
+                request, cascade, progress
+            )
             if instance is None:
                 return progress.answer
             end = yield from self._attempt(request, cascade, progress, instance)
-            if not self._goes_on(request, progress, end):
+            if not self._should_retry(request, progress, end):
                 if not progress.sent:
                     progress.answer.after_s = RETRY_AFTER_S
                 return progress.answer
 
-    def _first_model(self, cascade: Cascade) -> None:
+    def _set_first_model(self, cascade: Cascade) -> None:
         models = self.world.deployment.engines.models
         match self.world.policy.first:
             case FirstModel.SMALLEST:
@@ -233,77 +240,88 @@
             case FirstModel.CASCADE:
                 pass
 
-    def _placed(
-        self, request: Request, cascade: Cascade, progress: _Progress
+    def _await_instance(
+        self, request: CallerRequest, cascade: Cascade, progress: _Progress
     ) -> Generator[simpy.Event, Any, UpstreamInstance | None]:
-        """Return the engine of the next attempt; None where there is none."""
+        """Return the engine for the next attempt; None if none is available."""
         env, traffic = self.world.env, request.traffic
         unread = self._unread(request, cascade)
-        part = MAX_WAIT_SHARE * (1.0 - traffic.priority / (LAST_PRIORITY + 1))
-        by = request.end - MIN_LEFT_S
+        wait_share = MAX_WAIT_SHARE * (
+            1.0 - traffic.priority / (LAST_PRIORITY + 1)
+        )
+        deadline = request.end - MIN_LEFT_S
         if not progress.sent:
-            by = min(by, env.now + traffic.goal_s * part)
+            deadline = min(deadline, env.now + traffic.goal_s * wait_share)
         placement_request = PlacementRequest(
-            SERVICE, VersionRule(), unread, progress.tried, request.call, by
+            SERVICE,
+            VersionRule(),
+            unread,
+            progress.tried,
+            request.call,
+            deadline,
         )
         while True:
-            found = self._found(placement_request)
-            if isinstance(found, NoInstance):
+            choice = self._choose_instance(placement_request)
+            if isinstance(choice, NoInstance):
                 if not progress.sent:
-                    after_s = max(found.after_s or 0.0, RETRY_AFTER_S)
-                    spread = self.draw.uniform(1.0, SPREAD_AFTER)
+                    after_s = max(choice.after_s or 0.0, RETRY_AFTER_S)
+                    spread = self.rng.uniform(1.0, SPREAD_AFTER)
                     progress.answer.after_s = after_s * spread
                 return None
-            if isinstance(found, UpstreamInstance):
-                return found
-            yield env.timeout(max(found.at - env.now, 0.0))
-            if found.instance.accepts_requests(env.now):
-                return found.instance
-            self.chooser.began(found.instance, unread)
-            self.chooser.done(found.instance)
-
-    def _found(
+            if isinstance(choice, UpstreamInstance):
+                return choice
+            yield env.timeout(max(choice.at - env.now, 0.0))
+            if choice.instance.accepts_requests(env.now):
+                return choice.instance
+            self.chooser.began(choice.instance, unread)
+            self.chooser.done(choice.instance)
+
+    def _choose_instance(
         self, placement_request: PlacementRequest
     ) -> UpstreamInstance | Reservation | NoInstance:
-        if self.world.policy.choice is not Choice.RANDOM:
+        if self.world.policy.choice is not InstanceChoice.RANDOM:
             return find_instance(self.chooser, placement_request)
-        found = [one for one in self.directory.of_service(SERVICE) if one.open]
-        if not found:
+        candidates = [
+            one for one in self.directory.of_service(SERVICE) if one.open
+        ]
+        if not candidates:
             return NoInstance(None)
-        chosen = self.draw.choice(found)
+        chosen = self.rng.choice(candidates)
         chosen.running += 1
         chosen.unread += placement_request.unread
         return chosen
 
-    def _unread(self, request: Request, cascade: Cascade) -> float:
+    def _unread(self, request: CallerRequest, cascade: Cascade) -> float:
         tokens = request.tokens_in + request.traffic.shared_tokens
         return tokens * self.limits.relative_cost(cascade.model) / WORK_UNIT
 
     def _attempt(
         self,
-        request: Request,
+        request: CallerRequest,
         cascade: Cascade,
         progress: _Progress,
         instance: UpstreamInstance,
-    ) -> Generator[simpy.Event, Any, End]:
-        """Make one attempt, and take what it shows."""
+    ) -> Generator[simpy.Event, Any, AttemptEnd]:
+        """Make one attempt, and record its result for the engine."""
         unread = self._unread(request, cascade)
         if self.world.policy.first is FirstModel.CASCADE:
-            resumes_stream = bool(progress.answer.first_at)
+            resumes_stream = bool(progress.answer.first_event_at)
             cascade.on_instance_chosen(instance, resumes_stream=resumes_stream)
         domain = instance.entry.failure_domain
         try:
-            yield self.world.env.timeout(self.world.way_s(self.domain, domain))
-            self.world.promised(instance.entry.host, -1)
+            yield self.world.env.timeout(
+                self.world.delay_s(self.domain, domain)
+            )
+            self.world.add_in_flight(instance.entry.host, -1)
             engine = self.world.engine_at(instance.entry.host)
             if engine is None:
                 yield self.world.env.timeout(CONNECT_S)
                 progress.unreached += 1
                 instance.record_connect_failure()
                 self.directory.assume_cold(instance)
-                return End.UNREACHED
+                return AttemptEnd.UNREACHED
             if engine.name != instance.entry.id:
-                return self._turned_away(instance, engine, progress)
+                return self._record_replacement(instance, engine, progress)
             end = yield from self._run(
                 request, cascade, progress, instance, engine
             )
@@ -312,36 +330,36 @@
             self.chooser.began(instance, unread)
             self.chooser.done(instance)
 
-    def _turned_away(
+    def _record_replacement(
         self, instance: UpstreamInstance, engine: Engine, progress: _Progress
-    ) -> End:
-        """Take that another engine lives at the address."""
+    ) -> AttemptEnd:
+        """Record that another engine answered at the address."""
         self.world.turned_away += 1
         if self.world.policy.replaced:
             self.chooser.replaced(instance, engine.name)
-            return End.REPLACED
+            return AttemptEnd.REPLACED
         instance.failed(0.5)
         progress.tried.append(instance.entry.incarnation)
-        return End.LOST
+        return AttemptEnd.LOST
 
     def _run(
         self,
-        request: Request,
+        request: CallerRequest,
         cascade: Cascade,
         progress: _Progress,
         instance: UpstreamInstance,
         engine: Engine,
-    ) -> Generator[simpy.Event, Any, End]:
-        """Have an engine run a request."""
+    ) -> Generator[simpy.Event, Any, AttemptEnd]:
+        """Run a request on an engine until its answer ends."""
         env = self.world.env
         model = _model(self.world.deployment, cascade.model)
-        run = Run(
+        run = EngineRun(
             call=request.call,
             model=model,
             subject=request.subject,
             shared_tokens=request.traffic.shared_tokens,
-            own_tokens=request.tokens_in + progress.made,
-            left=max(request.tokens_out - progress.made, 1),
+            own_tokens=request.tokens_in + progress.generated,
+            remaining=max(request.tokens_out - progress.generated, 1),
             priority=request.traffic.priority,
             began=env.event(),
             ended=env.event(),
@@ -350,27 +368,29 @@
         sent_at = env.now
         if not engine.submit(run):
             head = AnswerHead(503, [], not_run=True, rest_s=engine.rest_s)
-            self._answered(instance, engine, head, sent_at)
+            self._apply_signals(instance, engine, head, sent_at)
             instance.failed(0.5)
-            return End.LOST
+            return AttemptEnd.LOST
         progress.sent = True
-        tokens = run.left + READ_PRICE_PART * run.own_tokens
+        tokens = run.remaining + PROMPT_PRICE_SHARE * run.own_tokens
         progress.answer.price += tokens / 1000 * model.cost
         left_s = max(request.end - env.now, 0.0)
         yield run.began | env.timeout(left_s) | self.died
         if not (run.began.triggered and run.began.value) or not self.alive:
             engine.cancel(run)
-            self._broken(cascade, instance, timed_out=not run.began.triggered)
-            return End.LOST
+            self._record_failure(
+                cascade, instance, timed_out=not run.began.triggered
+            )
+            return AttemptEnd.LOST
         head = AnswerHead(
             200,
             [],
             sealed=True,
             confidence=self._confidence(request, model),
         )
-        self._answered(instance, engine, head, sent_at)
-        is_first = not progress.answer.first_at
-        accepted = not is_first or self._accepts(cascade, head, progress)
+        self._apply_signals(instance, engine, head, sent_at)
+        is_first = not progress.answer.first_event_at
+        accepted = not is_first or self._accepts_answer(cascade, head, progress)
         cascade.record_lateness(
             Unsure(head.confidence or 0.0), env.now if is_first else 0.0
         )
@@ -379,21 +399,23 @@
             cascade.ask_larger(
                 instance.entry.id, Unsure(head.confidence or 0.0), left_s
             )
-            return End.UNSURE
+            return AttemptEnd.UNSURE
         if is_first:
-            progress.answer.first_at = env.now
+            progress.answer.first_event_at = env.now
         progress.answer.too_hard |= request.hardness > model.quality
-        end = yield from self._rest(request, progress, instance, engine, run)
+        end = yield from self._stream_rest(
+            request, progress, instance, engine, run
+        )
         return end
 
-    def _answered(
+    def _apply_signals(
         self,
         instance: UpstreamInstance,
         engine: Engine,
         head: AnswerHead,
         sent_at: float,
     ) -> None:
-        """Take what an engine says of itself in an answer."""
+        """Apply the limit, rest and leaving notice in an engine's answer."""
         head.limit_per_s = engine.limit_per_s
         head.leaving = engine.leaving
         if self.world.policy.signals:
@@ -401,69 +423,72 @@
                 instance.entry, instance.signals, head, sent_at
             )
 
-    def _rest(
+    def _stream_rest(
         self,
-        request: Request,
+        request: CallerRequest,
         progress: _Progress,
         instance: UpstreamInstance,
         engine: Engine,
-        run: Run,
-    ) -> Generator[simpy.Event, Any, End]:
-        """Pass the rest of a stream on."""
+        run: EngineRun,
+    ) -> Generator[simpy.Event, Any, AttemptEnd]:
+        """Pass the rest of an answer's stream on to the caller."""
         env, began = self.world.env, self.world.env.now
         left_s = max(request.end - env.now, 0.0)
         yield run.ended | env.timeout(left_s) | self.died
         answer = progress.answer
         answer.longest_gap_s = max(answer.longest_gap_s, run.longest_gap_s)
-        progress.made += run.made
-        events = max(run.made // engine.spec.event_tokens, 1)
+        progress.generated += run.generated
+        events = max(run.generated // engine.spec.event_tokens, 1)
         mean_s = (env.now - began) / events
         self.lateness.slowdown.paused(mean_s)
         if run.ended.triggered and run.ended.value and self.alive:
-            answer.whole = True
+            answer.complete = True
             self.lateness.slowdown.ended(mean_s)
             instance.succeeded()
-            return End.WHOLE
+            return AttemptEnd.COMPLETE
         engine.cancel(run)
         instance.failed(1.0)
-        return End.LOST
+        return AttemptEnd.LOST
 
-    def _accepts(
+    def _accepts_answer(
         self, cascade: Cascade, head: AnswerHead, progress: _Progress
     ) -> bool:
         if self.world.policy.first is not FirstModel.CASCADE:
             return True
         return cascade.accepts(head, len(progress.tried))
 
-    def _broken(
+    def _record_failure(
         self, cascade: Cascade, instance: UpstreamInstance, *, timed_out: bool
     ) -> None:
         result: Result = Broken("lost", timed_out=timed_out)
         cascade.record_lateness(result, 0.0)
         instance.failed(1.0)
 
-    def _goes_on(self, request: Request, progress: _Progress, end: End) -> bool:
-        """Whether another attempt is made."""
+    def _should_retry(
+        self, request: CallerRequest, progress: _Progress, end: AttemptEnd
+    ) -> bool:
+        """Return whether another attempt is made."""
         left_s = request.end - self.world.env.now
-        if end is End.WHOLE or not self.alive or left_s < MIN_LEFT_S:
+        if end is AttemptEnd.COMPLETE or not self.alive or left_s < MIN_LEFT_S:
             return False
         match end:
-            case End.UNSURE:
-                # It took its retry as the answer was turned down.
+            case AttemptEnd.UNSURE:
+                # The cascade took this retry from the budget when it discarded
+                # the answer.
                 return True
-            case End.UNREACHED:
+            case AttemptEnd.UNREACHED:
                 return progress.unreached < MAX_UNREACHED
-            case End.REPLACED:
+            case AttemptEnd.REPLACED:
                 return self.budgets.take()
         if len(progress.tried) >= request.traffic.attempts:
             return False
         return self.budgets.take()
 
-    def _confidence(self, request: Request, model: Model) -> float:
+    def _confidence(self, request: CallerRequest, model: Model) -> float:
         easier = model.quality - request.hardness
         mean = CONFIDENCE_AT_LIMIT + CONFIDENCE_SLOPE * easier
-        found = self.draw.gauss(mean, CONFIDENCE_SCATTER)
-        return min(max(found, 0.0), 100.0)
+        confidence = self.rng.gauss(mean, CONFIDENCE_SCATTER)
+        return min(max(confidence, 0.0), 100.0)
 
 
 def _route(traffic: Traffic, deployment: Deployment) -> Route:
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,7 +1,8 @@
-"""Tasks in a time that passes only while all of them sleep.
+"""Deterministic scheduler of threads on a virtual clock.
 
-Each task is a thread, one of which runs at a time: the same tasks do the same
-in each run, and minutes pass in milliseconds.
+Virtual time advances only while all tasks sleep. Each task is a thread, and
+only one runs at a time, so that every run has the same interleaving and minutes
+pass in milliseconds.
 """
 
 import heapq
@@ -9,15 +10,15 @@
 import threading
 
 
-class Over(BaseException):
-    """The time is over; raised in each task that sleeps."""
+class TimeExpired(BaseException):
+    """Raised in each sleeping task to end it after the run."""
 
 
 class VirtualTime:
-    """A clock and the tasks that live by it.
+    """A virtual clock and the tasks that it schedules.
 
     Attributes:
-        time: Seconds since the start.
+        time: Virtual seconds since the start.
     """
 
     def __init__(self):
@@ -26,39 +27,39 @@
         self._numbers = itertools.count()
         self._running = threading.Semaphore(0)
         self._local = threading.local()
-        self._over = False
+        self._expired = False
         self._threads = []
         self._errors = []
 
     def now(self):
-        """Return the time."""
+        """Return the virtual time, in seconds."""
         return self.time
 
     def wait(self, event, seconds):
-        """Sleep; return whether an event is set then."""
+        """Sleep; return whether the event is set afterwards."""
         self.sleep(seconds)
         return event.is_set()
 
     def sleep(self, seconds):
-        """Let time pass for the task that calls."""
+        """Suspend the calling task for a span of virtual time."""
         turn = self._local.turn
-        self._queue_up(self.time + seconds, turn)
+        self._schedule(self.time + seconds, turn)
         self._running.release()
         turn.acquire()
-        if self._over:
-            raise Over
+        if self._expired:
+            raise TimeExpired
 
     def start(self, function, *args):
-        """Add a task that starts now."""
+        """Add a task that starts at the current virtual time."""
         turn = threading.Semaphore(0)
 
         def run():
             self._local.turn = turn
             turn.acquire()
             try:
-                if not self._over:
+                if not self._expired:
                     function(*args)
-            except Over:
+            except TimeExpired:
                 pass
             except Exception as error:
                 self._errors.append(error)
@@ -67,29 +68,29 @@
 
         thread = threading.Thread(target=run, daemon=True)
         self._threads.append(thread)
-        self._queue_up(self.time, turn)
+        self._schedule(self.time, turn)
         thread.start()
 
     def run(self, until):
-        """Let time pass, then end all tasks.
+        """Run the tasks until a virtual time, then end all of them.
 
         Raises:
-            Exception: What a task raised.
+            Exception: The first exception that a task raised.
         """
         while self._queue and self._queue[0][0] <= until and not self._errors:
             self.time, _, turn = heapq.heappop(self._queue)
-            self._step(turn)
-        self._over = True
+            self._run_task(turn)
+        self._expired = True
         while self._queue:
-            self._step(heapq.heappop(self._queue)[2])
+            self._run_task(heapq.heappop(self._queue)[2])
         for thread in self._threads:
             thread.join()
         for error in self._errors:
             raise error
 
-    def _queue_up(self, at, turn):
+    def _schedule(self, at, turn):
         heapq.heappush(self._queue, (at, next(self._numbers), turn))
 
-    def _step(self, turn):
+    def _run_task(self, turn):
         turn.release()
         self._running.acquire()
