--- a/lacewingdock/components/billing/ledger.py
+++ b/lacewingdock/components/billing/ledger.py
@@ -163,8 +163,8 @@
         except LacewingdockError as error:
             log.warning("ledger not written", log=name, error=error.detail)
             done = False
-        self._keep(name, [a for a in rows if a in target.seen])
-        target.forget()
+        self._keep(name, [a for a in rows if a in target.slot_by_key])
+        target.evict_old_keys()
         return done
 
     def _keep(self, name: str, attempts: list[str]) -> None:
--- a/lacewingdock/components/cordons/__init__.py
+++ b/lacewingdock/components/cordons/__init__.py
@@ -62,7 +62,7 @@
         domains = self.domains - domain if is_lifted else self.domains | domain
         self._set(domains, stored.revision)
 
-    def settle(self) -> None:
+    def lift_unconfirmed(self) -> None:
         """Lift what the store does not show, once that is no more in doubt."""
         if self.doubted:
             domains, self.doubted = self.domains - self.doubted, frozenset()
--- a/lacewingdock/components/gateway/__init__.py
+++ b/lacewingdock/components/gateway/__init__.py
@@ -13,7 +13,7 @@
 from lacewingdock.components.gateway.gateway import Gateway
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.server_connection import (
-    CallerGone,
+    CallerDisconnected,
     ServerConnection,
 )
 from lacewingdock.helpers.sockets import Listener
@@ -78,7 +78,7 @@
         try:
             while self._serve_one(connection):
                 pass
-        except CallerGone:
+        except CallerDisconnected:
             pass
         if connection.started and not connection.complete:
             # A reset shows the caller that the answer is incomplete.
@@ -104,7 +104,7 @@
             )
             call.body = request.body
             if self.leaving.is_set() or self.is_shut:
-                connection.keep = False
+                connection.keep_alive = False
             if self.is_shut:
                 self.gateway.refuse(connection, call, _leaving())
                 return False
--- a/lacewingdock/components/gateway/attempt.py
+++ b/lacewingdock/components/gateway/attempt.py
@@ -209,7 +209,7 @@
         Raises:
             CallerLeft: The caller closed its connection while the answer was
                 awaited.
-            CallerGone: Sending to the caller failed.
+            CallerDisconnected: Sending to the caller failed.
         """
         try:
             connection = self.pool.take(self.instance.entry, sending.left_s)
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -51,7 +51,10 @@
 )
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.helpers.server_connection import CallerGone, ServerConnection
+from lacewingdock.helpers.server_connection import (
+    CallerDisconnected,
+    ServerConnection,
+)
 from lacewingdock.world.call import Call, Sending
 from lacewingdock.world.route import Caller, Repeat, Route, RoutingTable
 
@@ -134,7 +137,7 @@
         self.gateway = gateway
         self.call = call
         self.connection = connection
-        self.started = connection.read_at
+        self.started = connection.received_at
         self.caller: Caller | None = None
         self.service = ""
         self.end = self.started + DEFAULT_TIMEOUT_S
@@ -152,9 +155,9 @@
             outcome = self._attempts()
         except LacewingdockError as error:
             outcome = self._refuse(error)
-        except (CallerGone, CallerLeft):
+        except (CallerDisconnected, CallerLeft):
             outcome = left()
-            self.connection.keep = False
+            self.connection.keep_alive = False
         except Exception as error:
             # A fault in the router must not leave the caller without an answer.
             log.exception("request failed", request=self.call.id)
@@ -220,7 +223,7 @@
 
         Raises:
             LacewingdockError: The request is given up.
-            CallerGone, CallerLeft: The caller closed its connection.
+            CallerDisconnected, CallerLeft: The caller closed its connection.
         """
         while True:
             instance = self._choose()
@@ -510,7 +513,7 @@
 
     def _break_off(self, detail: str) -> Outcome:
         """Reset the connection to show that the stream is incomplete."""
-        self.connection.keep = False
+        self.connection.keep_alive = False
         self.connection.abort()
         return broken_off(detail)
 
@@ -519,6 +522,6 @@
             return self._break_off(error.detail)
         try:
             answer_error(self.connection, error, self.call.id)
-        except CallerGone:
+        except CallerDisconnected:
             return left()
         return refused(error)
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -130,9 +130,9 @@
         if memory.answered(entry, instance.signals, head, sent_at):
             self.chooser.changed.set()
         if head.unknown:
-            self.unknown_headers.met(entry.id, head.unknown)
+            self.unknown_headers.count_names(entry.id, head.unknown)
         if head.odd:
-            self.odd_values.met(entry.id, head.odd)
+            self.odd_values.count_names(entry.id, head.odd)
 
     def refuse(
         self, connection: ServerConnection, call: Call, error: LacewingdockError
@@ -150,7 +150,7 @@
             "request could not be read", code=error.kind, detail=error.detail
         )
         self.metrics.count_outcome("", None, None, refused(error), 0.0)
-        connection.keep = False
+        connection.keep_alive = False
         answer_error(connection, error, "")
 
 
@@ -160,7 +160,7 @@
     """Answer with a problem document and a Retry-After where there is one.
 
     Raises:
-        CallerGone: The connection broke.
+        CallerDisconnected: The connection broke.
     """
     headers = [(b"Content-Type", MEDIA_TYPE.encode())]
     headers += refusal_headers(call_id)
--- a/lacewingdock/components/gossip/port.py
+++ b/lacewingdock/components/gossip/port.py
@@ -13,7 +13,7 @@
     decode,
     encode,
 )
-from lacewingdock.helpers.datagrams import DatagramPort, not_from
+from lacewingdock.helpers.datagrams import DatagramPort, sender_mismatch
 from lacewingdock.helpers.log import get_logger
 
 # The shortest time between two messages. A prompt of the mean size is read in
@@ -131,7 +131,7 @@
         """
         message = decode(data)
         if not self.is_at(message.router, sender[0]):
-            raise not_from(NAME, message.router)
+            raise sender_mismatch(NAME, message.router)
         for hear in self.hear:
             hear(message)
 
--- a/lacewingdock/components/host_watch.py
+++ b/lacewingdock/components/host_watch.py
@@ -9,7 +9,7 @@
 
 # The file may change without a signal. Reading 2 KB takes 28 us, and 236
 # us where the text changed (processor time, mean of 2,000).
-LOOK_S: Final = 1.0
+CHECK_INTERVAL_S: Final = 1.0
 
 log = get_logger("settings")
 
@@ -36,7 +36,7 @@
         self.host = host
         self.fault = ""
 
-    def look(self, *, asked: bool) -> None:
+    def check(self, *, asked: bool) -> None:
         """Look at the file, and take it if it changed.
 
         Args:
--- a/lacewingdock/components/inspection/__init__.py
+++ b/lacewingdock/components/inspection/__init__.py
@@ -11,7 +11,7 @@
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.server_connection import (
-    CallerGone,
+    CallerDisconnected,
     ServerConnection,
     ServerRequest,
     serve_requests,
@@ -71,7 +71,7 @@
         """Serve one connection."""
         try:
             serve_requests(sock, _LIMITS, self._answer)
-        except (CallerGone, LacewingdockError) as error:
+        except (CallerDisconnected, LacewingdockError) as error:
             log.info("question unread", error=repr(error))
 
     def _answer(
--- a/lacewingdock/components/pacing/__init__.py
+++ b/lacewingdock/components/pacing/__init__.py
@@ -40,7 +40,7 @@
     compute_shares,
 )
 from lacewingdock.components.upstreams.instance import Instance
-from lacewingdock.helpers.recent import remember
+from lacewingdock.helpers.recent import insert_lru
 from lacewingdock.world.host import Bounds
 from lacewingdock.world.route import ServiceLimits
 
@@ -146,7 +146,7 @@
         if not instance.takes_few(at):
             return
         start = instance.entry.incarnation
-        remember(self._sent_at, start, at, MAX_REMEMBERED)
+        insert_lru(self._sent_at, start, at, MAX_REMEMBERED)
 
     def _bounds_of(self, instance: Instance, now: float) -> list[RateBound]:
         """Return the rate bounds on an instance, if any."""
--- a/lacewingdock/components/quarantine/placing.py
+++ b/lacewingdock/components/quarantine/placing.py
@@ -14,7 +14,7 @@
 from lacewingdock.components.routing.choice import choose_upstream
 from lacewingdock.const import RAN_NO
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
-from lacewingdock.helpers.recent import remember
+from lacewingdock.helpers.recent import insert_lru
 from lacewingdock.world.upstream import Upstream
 
 
@@ -101,7 +101,7 @@
     def prove(self, fingerprint: str) -> None:
         """Take note of a whole answer."""
         with self._lock:
-            remember(self.proven, fingerprint, None, MAX_PROVEN)
+            insert_lru(self.proven, fingerprint, None, MAX_PROVEN)
 
     def doubt(self, fingerprints: Collection[str]) -> None:
         """Forget that requests were answered whole."""
--- a/lacewingdock/components/readiness.py
+++ b/lacewingdock/components/readiness.py
@@ -9,7 +9,7 @@
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.server_connection import (
-    CallerGone,
+    CallerDisconnected,
     ServerConnection,
     ServerRequest,
     serve_requests,
@@ -25,7 +25,7 @@
 log = get_logger("readiness")
 
 
-class ReadinessPort:
+class ReadinessServer:
     """Answers 200 while this router can serve, and 503 otherwise.
 
     Attributes:
@@ -57,7 +57,7 @@
         """Serve one connection."""
         try:
             serve_requests(sock, _LIMITS, self._answer)
-        except (CallerGone, LacewingdockError) as error:
+        except (CallerDisconnected, LacewingdockError) as error:
             log.info("question unread", error=repr(error))
 
     def _answer(self, connection: ServerConnection, _: ServerRequest) -> None:
--- a/lacewingdock/components/relay/port.py
+++ b/lacewingdock/components/relay/port.py
@@ -13,7 +13,7 @@
 from lacewingdock.components.relay.follower import Follower
 from lacewingdock.components.relay.watcher import Watcher
 from lacewingdock.helpers.clock import STEADY
-from lacewingdock.helpers.datagrams import DatagramPort, not_from
+from lacewingdock.helpers.datagrams import DatagramPort, sender_mismatch
 from lacewingdock.helpers.log import get_logger
 
 log = get_logger("relay")
@@ -100,7 +100,7 @@
         """
         message = decode(data)
         if self.host_of(message.router) != sender[0]:
-            raise not_from(NAME, message.router)
+            raise sender_mismatch(NAME, message.router)
         match message:
             case Question(router, number):
                 self.follower.heard_of()
--- a/lacewingdock/components/routers/__init__.py
+++ b/lacewingdock/components/routers/__init__.py
@@ -27,7 +27,7 @@
 from lacewingdock.helpers.json import decode_json
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.server_connection import (
-    CallerGone,
+    CallerDisconnected,
     ServerConnection,
     ServerRequest,
     serve_requests,
@@ -397,7 +397,7 @@
         """Serve one connection."""
         try:
             serve_requests(sock, _LIMITS, self._answer)
-        except (CallerGone, LacewingdockError) as error:
+        except (CallerDisconnected, LacewingdockError) as error:
             log.info("router request failed", error=repr(error))
 
     def _answer(
--- a/lacewingdock/components/upstreams/connection.py
+++ b/lacewingdock/components/upstreams/connection.py
@@ -10,7 +10,7 @@
 
 from lacewingdock.const import RAN_NO, RAN_UNKNOWN
 from lacewingdock.exceptions import UpstreamLost
-from lacewingdock.helpers.sockets import has_left
+from lacewingdock.helpers.sockets import peer_closed
 from lacewingdock.platform.wire import read_answer
 from lacewingdock.world.call import AnswerHead, Headers
 
@@ -249,7 +249,7 @@
         Raises:
             CallerLeft: It did.
         """
-        if has_left(caller):
+        if peer_closed(caller):
             raise CallerLeft
         # It sent more ahead of its time, which is read after this answer.
         self.watch_caller(None)
--- a/lacewingdock/components/upstreams/directory.py
+++ b/lacewingdock/components/upstreams/directory.py
@@ -10,7 +10,7 @@
 from lacewingdock.components.upstreams.signals import SignalMemory
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.helpers.recent import remember
+from lacewingdock.helpers.recent import insert_lru
 from lacewingdock.world.backend import UpstreamEntry
 
 # Entries that lapsed while the platform's store was away come back within
@@ -260,7 +260,7 @@
         known.gone = True
         del self.instances[name]
         last = known.entry
-        remember(self.left, last.incarnation, last.sequence, MAX_LEFT)
+        insert_lru(self.left, last.incarnation, last.sequence, MAX_LEFT)
         self._index()
         log.info("upstream gone", upstream=name, lapsed=known.lapsed)
 
@@ -333,7 +333,7 @@
         with self._changing:
             if key in self.replaced:
                 return False
-            remember(self.replaced, key, self.clock.now(), MAX_REPLACED)
+            insert_lru(self.replaced, key, self.clock.now(), MAX_REPLACED)
             instance.gone = True
             if self.instances.get(entry.id) is instance:
                 del self.instances[entry.id]
@@ -344,7 +344,7 @@
         if not entry.born:
             return
         most = max(MIN_BIRTHS, 2 * len(self.instances))
-        remember(self.births, entry.id, entry.born, most)
+        insert_lru(self.births, entry.id, entry.born, most)
 
     def _index(self) -> None:
         index: dict[str, list[Instance]] = {}
--- a/lacewingdock/components/upstreams/signals.py
+++ b/lacewingdock/components/upstreams/signals.py
@@ -24,7 +24,7 @@
 from lacewingdock.components.upstreams.rest import Rest
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.helpers.recent import remember
+from lacewingdock.helpers.recent import insert_lru
 from lacewingdock.world.backend import UpstreamEntry
 from lacewingdock.world.call import AnswerHead
 
@@ -90,7 +90,7 @@
         """Return what an instance's start said."""
         with self._lock:
             found = self.known.get(incarnation) or Signals()
-            remember(self.known, incarnation, found, MAX_REMEMBERED)
+            insert_lru(self.known, incarnation, found, MAX_REMEMBERED)
         return found
 
     def answered(
--- a/lacewingdock/daemons/load_sidecar.py
+++ b/lacewingdock/daemons/load_sidecar.py
@@ -13,7 +13,7 @@
 from dataclasses import fields
 from typing import Final
 
-from lacewingdock.components.host_watch import LOOK_S
+from lacewingdock.components.host_watch import CHECK_INTERVAL_S
 from lacewingdock.components.probes.const import (
     KNOWN_EVERY_S,
     READ_EVERY_S,
@@ -128,7 +128,7 @@
         What a sidecar takes from it says which engine is its own and where it
         listens; only a restart changes that.
         """
-        while not stopping.wait(LOOK_S):
+        while not stopping.wait(CHECK_INTERVAL_S):
             if not self.asked.is_set():
                 continue
             self.asked.clear()
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -20,12 +20,12 @@
 from lacewingdock.components.gateway.gateway import Gateway
 from lacewingdock.components.gateway.metrics import GatewayMetrics
 from lacewingdock.components.gossip.load import FleetLoad
-from lacewingdock.components.host_watch import LOOK_S, HostWatch
+from lacewingdock.components.host_watch import CHECK_INTERVAL_S, HostWatch
 from lacewingdock.components.inspection import InspectionPort
 from lacewingdock.components.mirror import Mirror
 from lacewingdock.components.mirror.listener import Listener, PerObjectListener
 from lacewingdock.components.pacing import Pacer
-from lacewingdock.components.readiness import ReadinessPort
+from lacewingdock.components.readiness import ReadinessServer
 from lacewingdock.components.routers import CopyServer, Routers
 from lacewingdock.components.routes import Routes
 from lacewingdock.components.shifts import Shifts
@@ -219,7 +219,7 @@
             self.leaving,
             sock,
         )
-        self.ready = ReadinessPort(
+        self.ready = ReadinessServer(
             host.ready_address, self.missing, self.leaving
         )
         self.copies = CopyServer(
@@ -293,10 +293,10 @@
                 path=path.name,
                 worst_s=round(path.worst_s, 3),
             )
-        while not self.leaving.wait(LOOK_S):
+        while not self.leaving.wait(CHECK_INTERVAL_S):
             asked = self.asked.is_set()
             self.asked.clear()
-            self.watch.look(asked=asked)
+            self.watch.check(asked=asked)
         return self._leave()
 
     def _leave(self) -> int:
@@ -412,7 +412,7 @@
         self.directory.take_held()
         if not self.health.doubtful:
             self.directory.drop_lapsed()
-            self.cordons.settle()
+            self.cordons.lift_unconfirmed()
 
     def _every(self, interval_s: float, function: Callable[[], None]) -> None:
         """Run a function again and again until the daemon stops.
--- a/lacewingdock/helpers/append_log.py
+++ b/lacewingdock/helpers/append_log.py
@@ -55,8 +55,8 @@
         "first",
         "key_of",
         "name",
-        "seen",
         "slot",
+        "slot_by_key",
         "store",
     )
 
@@ -74,7 +74,7 @@
         self.name = name
         self.key_of = key_of
         self.first = self.slot = first
-        self.seen: dict[str, int] = {}
+        self.slot_by_key: dict[str, int] = {}
 
     def append(self, rows: dict[str, bytes], after: int) -> None:
         """Append the rows that the log doesn't hold yet.
@@ -90,17 +90,23 @@
                 write that arrives late meets its own successor there.
         """
         self._cover(after)
-        left = {key: row for key, row in rows.items() if key not in self.seen}
+        left = {
+            key: row for key, row in rows.items() if key not in self.slot_by_key
+        }
         while left:
             batch = _fitting(left)
             self._advance(self._fill(batch))
-            left = {k: row for k, row in left.items() if k not in self.seen}
+            left = {
+                k: row for k, row in left.items() if k not in self.slot_by_key
+            }
 
-    def forget(self) -> None:
+    def evict_old_keys(self) -> None:
         """Drop the keys of old slots from memory."""
         first = self.slot - REMEMBERED_SLOTS
         if first > self.first:
-            self.seen = {k: s for k, s in self.seen.items() if s >= first}
+            self.slot_by_key = {
+                k: s for k, s in self.slot_by_key.items() if s >= first
+            }
             self.first = first
 
     def _cover(self, after: int) -> None:
@@ -108,7 +114,7 @@
         while self.first > after:
             slot = self.first - 1
             for key in self._read(slot):
-                self.seen[key] = slot
+                self.slot_by_key[key] = slot
             self.first = slot
 
     def _fill(self, batch: dict[str, bytes]) -> list[str]:
@@ -136,7 +142,7 @@
 
     def _advance(self, keys: list[str]) -> None:
         for key in keys:
-            self.seen[key] = self.slot
+            self.slot_by_key[key] = self.slot
         self.slot += 1
 
 
--- a/lacewingdock/helpers/datagrams.py
+++ b/lacewingdock/helpers/datagrams.py
@@ -44,7 +44,7 @@
     return LacewingdockError(ErrorKind.BAD_REQUEST, f"{name}: {detail}")
 
 
-def not_from(name: str, sender: str) -> LacewingdockError:
+def sender_mismatch(name: str, sender: str) -> LacewingdockError:
     """Return the coded error of a message that its sender did not send."""
     return bad_message(name, f"not from the address of {sender!r}")
 
--- a/lacewingdock/helpers/recent.py
+++ b/lacewingdock/helpers/recent.py
@@ -7,7 +7,9 @@
 V = TypeVar("V")
 
 
-def remember(known: MutableMapping[K, V], key: K, value: V, most: int) -> None:
+def insert_lru(
+    known: MutableMapping[K, V], key: K, value: V, most: int
+) -> None:
     """Put a value last in a mapping, and drop the first beyond a number.
 
     Args:
--- a/lacewingdock/helpers/server_connection.py
+++ b/lacewingdock/helpers/server_connection.py
@@ -12,7 +12,7 @@
 import h11
 
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
-from lacewingdock.helpers.sockets import has_left
+from lacewingdock.helpers.sockets import peer_closed
 from lacewingdock.world.call import Headers
 from lacewingdock.world.route import CallerLimits
 
@@ -33,7 +33,7 @@
 }
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """The caller closed its connection, or it broke."""
 
 
@@ -67,7 +67,14 @@
         read_at: Monotonic time at which the last request was whole.
     """
 
-    __slots__ = ("_poll", "keep", "parser", "read_at", "sock", "started")
+    __slots__ = (
+        "_poll",
+        "keep_alive",
+        "parser",
+        "received_at",
+        "sock",
+        "started",
+    )
 
     def __init__(self, sock: socket.socket) -> None:
         """Take an accepted socket."""
@@ -77,9 +84,9 @@
         )
         self.sock = sock
         self.parser = h11.Connection(h11.SERVER)
-        self.keep = True
+        self.keep_alive = True
         self.started = False
-        self.read_at = 0.0
+        self.received_at = 0.0
         self._poll = select.poll()
         self._poll.register(sock, select.POLLIN)
 
@@ -89,7 +96,7 @@
         Raises:
             LacewingdockError: BAD_REQUEST, HEADERS_TOO_LARGE, BODY_TOO_LARGE
                 or SLOW_CALLER.
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection broke.
         """
         self._next_cycle(limits)
         until = time.monotonic() + limits.idle_s
@@ -107,7 +114,7 @@
         self.started = False
         self._check_head(event, limits.header_bytes)
         body = self._read_body(until, limits.body_bytes)
-        self.read_at = time.monotonic()
+        self.received_at = time.monotonic()
         return ServerRequest(
             event.method,
             event.target,
@@ -119,7 +126,7 @@
     @property
     def reusable(self) -> bool:
         """Whether another request may be read."""
-        return self.keep and self.parser.our_state is h11.DONE
+        return self.keep_alive and self.parser.our_state is h11.DONE
 
     @property
     def complete(self) -> bool:
@@ -128,16 +135,16 @@
 
     def left(self) -> bool:
         """Whether the caller closed its connection."""
-        return bool(self._poll.poll(0)) and has_left(self.sock)
+        return bool(self._poll.poll(0)) and peer_closed(self.sock)
 
     def start(self, status: int, headers: Headers) -> None:
         """Send the head of an answer whose length is not known.
 
         Raises:
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection broke.
         """
         self.started = True
-        if not self.keep:
+        if not self.keep_alive:
             headers = [*headers, (b"Connection", b"close")]
         self._send(h11.Response(status_code=status, headers=headers))
 
@@ -145,7 +152,7 @@
         """Send a piece of the body.
 
         Raises:
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection broke.
         """
         self._send(h11.Data(data=data))
 
@@ -153,7 +160,7 @@
         """End the body.
 
         Raises:
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection broke.
         """
         self._send(h11.EndOfMessage())
 
@@ -161,11 +168,11 @@
         """Send a whole answer.
 
         Raises:
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection broke.
         """
         self.started = True
         headers = [*headers, (b"Content-Length", b"%d" % len(body))]
-        if not self.keep:
+        if not self.keep_alive:
             headers.append((b"Connection", b"close"))
         head = h11.Response(status_code=status, headers=headers)
         self._send(head, h11.Data(data=body), h11.EndOfMessage())
@@ -199,7 +206,7 @@
         try:
             event = self.parser.next_event()
         except h11.RemoteProtocolError as error:
-            self.keep = False
+            self.keep_alive = False
             kind = _ERROR_KINDS.get(
                 HTTPStatus(error.error_status_hint), ErrorKind.BAD_REQUEST
             )
@@ -219,13 +226,13 @@
         size = len(request.method) + len(request.target)
         size += sum(len(n) + len(v) + 4 for n, v in request.headers)
         if size > most:
-            self.keep = False
+            self.keep_alive = False
             raise LacewingdockError(
                 ErrorKind.HEADERS_TOO_LARGE, f"more than {most} bytes"
             )
         names = {name for name, _ in request.headers}
         if names >= {b"transfer-encoding", b"content-length"}:
-            self.keep = False
+            self.keep_alive = False
             raise LacewingdockError(
                 ErrorKind.BAD_REQUEST,
                 "both Transfer-Encoding and Content-Length",
@@ -240,7 +247,7 @@
                 parts.append(bytes(event.data))
                 size += len(event.data)
                 if size > most:
-                    self.keep = False
+                    self.keep_alive = False
                     raise LacewingdockError(
                         ErrorKind.BODY_TOO_LARGE, f"more than {most} bytes"
                     )
@@ -249,14 +256,14 @@
             elif event is None:
                 self._receive_body(until)
             else:
-                raise CallerGone
+                raise CallerDisconnected
 
     def _receive_body(self, until: float) -> None:
         if self.parser.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             self._send(go_on)
         if not self._receive(until):
-            self.keep = False
+            self.keep_alive = False
             raise LacewingdockError(
                 ErrorKind.SLOW_CALLER, "the body did not come in time"
             )
@@ -266,12 +273,12 @@
 
         Raises:
             LacewingdockError: SLOW_CALLER, in the middle of a head.
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection broke.
         """
         left_s = until - time.monotonic()
         if left_s <= 0 or not self._poll.poll(int(left_s * 1000) + 1):
             if self.parser.trailing_data[0]:
-                self.keep = False
+                self.keep_alive = False
                 raise LacewingdockError(
                     ErrorKind.SLOW_CALLER, "the head did not come in time"
                 )
@@ -279,13 +286,13 @@
         try:
             data = self.sock.recv(READ_BYTES)
         except OSError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
         if not data and self.parser.their_state is h11.SEND_BODY:
-            raise CallerGone
+            raise CallerDisconnected
         try:
             self.parser.receive_data(data)
         except h11.RemoteProtocolError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
         return True
 
     def _send(self, *events: h11.Event) -> None:
@@ -294,8 +301,8 @@
             self.sock.settimeout(WRITE_S)
             self.sock.sendall(data)
         except OSError as error:
-            self.keep = False
-            raise CallerGone from error
+            self.keep_alive = False
+            raise CallerDisconnected from error
 
     def _drain(self) -> None:
         self.sock.shutdown(socket.SHUT_WR)
@@ -314,7 +321,8 @@
     """Answer the requests of a connection until one side ends it.
 
     Raises:
-        LacewingdockError, CallerGone: As `ServerConnection.read_request`.
+        LacewingdockError, CallerDisconnected: As for
+            `ServerConnection.read_request`.
     """
     connection = ServerConnection(sock)
     try:
--- a/lacewingdock/helpers/sockets.py
+++ b/lacewingdock/helpers/sockets.py
@@ -20,7 +20,7 @@
 log = get_logger("sockets")
 
 
-def has_left(caller: socket.socket) -> bool:
+def peer_closed(caller: socket.socket) -> bool:
     """Whether the other end closed its connection."""
     try:
         return not caller.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/lacewingdock/helpers/unknown_names.py
+++ b/lacewingdock/helpers/unknown_names.py
@@ -34,7 +34,7 @@
         self._counts: dict[str, int] = {}
         self._lock = threading.Lock()
 
-    def met(self, source: str, names: Iterable[str]) -> None:
+    def count_names(self, source: str, names: Iterable[str]) -> None:
         """Count names; the log tells of each once.
 
         Args:
--- a/lacewingdock/platform/documents.py
+++ b/lacewingdock/platform/documents.py
@@ -302,7 +302,9 @@
     """
     names = {name for one in found for name in one.keys() - _KNOWN[cls]}
     part = cls.__name__.strip("_").lower()
-    unknown_fields.met(source, sorted(f"{part}.{name}" for name in names))
+    unknown_fields.count_names(
+        source, sorted(f"{part}.{name}" for name in names)
+    )
 
 
 def _faulty(stored: StoredObject, detail: str) -> LacewingdockError:
--- a/tests/components/cordons/test_cordons.py
+++ b/tests/components/cordons/test_cordons.py
@@ -171,21 +171,21 @@
     listener.change(change, doubtful=True)
 
 
-def settle(listener, _):
+def lift_unconfirmed(listener, _):
     """Let the store have all again."""
-    listener.settle()
+    listener.lift_unconfirmed()
 
 
 @pytest.mark.parametrize(
     ("steps", "open_now"),
     [
         ([(copied, "b")], {"c-1"}),
-        ([(copied, "b"), (settle, "")], {"a-1", "a-2", "c-1"}),
+        ([(copied, "b"), (lift_unconfirmed, "")], {"a-1", "a-2", "c-1"}),
         ([(copied, "b"), (copied, "b")], {"c-1"}),
-        ([(copied, "b"), (set_, "a"), (settle, "")], {"c-1"}),
+        ([(copied, "b"), (set_, "a"), (lift_unconfirmed, "")], {"c-1"}),
         ([(copied, "b"), (lift, "a")], {"a-1", "a-2", "c-1"}),
         ([(unlist, "a")], {"c-1"}),
-        ([(unlist, "a"), (settle, "")], {"a-1", "a-2", "c-1"}),
+        ([(unlist, "a"), (lift_unconfirmed, "")], {"a-1", "a-2", "c-1"}),
         # One that was lifted counts again where the store shows it.
         ([(lift, "a"), (copied, "a")], {"c-1"}),
     ],
--- a/tests/components/gateway/test_answer_news.py
+++ b/tests/components/gateway/test_answer_news.py
@@ -158,7 +158,7 @@
 
 def test_number_of_unknown_names_is_bounded(lines):
     found = UnknownNames("answer")
-    found.met("i-1", [f"x-{number}" for number in range(1000)])
+    found.count_names("i-1", [f"x-{number}" for number in range(1000)])
     assert len(found.counts()) == MAX_NAMES + 1
     assert found.counts()[OTHERS] == 1000 - MAX_NAMES
     assert len(lines) == MAX_NAMES
--- a/tests/components/test_host_watch.py
+++ b/tests/components/test_host_watch.py
@@ -65,8 +65,8 @@
     host = watch.host
     path.write_text(file(**changes))
     with logbook.TestHandler() as handler:
-        watch.look(asked=False)
-        watch.look(asked=False)
+        watch.check(asked=False)
+        watch.check(asked=False)
     fields = {"asked": False, "taken": taken, "need_restart": fixed}
     assert said(handler) == [("settings read again", fields)]
     wanted = parse_profile(file(**changes), "x")
@@ -84,20 +84,20 @@
     else:
         path.write_text(text)
     with logbook.TestHandler() as handler:
-        watch.look(asked=False)
-        watch.look(asked=False)
+        watch.check(asked=False)
+        watch.check(asked=False)
     assert [message for message, _ in said(handler)] == [
         "settings not read again"
     ]
     assert watch.host.bounds.grace_s == 8.0
     path.write_text(file(grace=5))
-    watch.look(asked=False)
+    watch.check(asked=False)
     assert watch.host.bounds.grace_s == 5.0
 
 
 def test_signal_is_answered_in_the_log_where_nothing_changed(watched):
     _, watch = watched
     with logbook.TestHandler() as handler:
-        watch.look(asked=True)
+        watch.check(asked=True)
     fields = {"asked": True, "taken": [], "need_restart": []}
     assert said(handler) == [("settings read again", fields)]
--- a/tests/helpers/test_append_log.py
+++ b/tests/helpers/test_append_log.py
@@ -86,8 +86,8 @@
     log = open_log(store)
     for number in range(10):
         append(log, str(number), after=number)
-        log.forget()
-    assert len(log.seen) == 2
+        log.evict_old_keys()
+    assert len(log.slot_by_key) == 2
     append(log, "1", "new", after=1)
     assert contents(store) == [*map(str, range(10)), "new"]
 
