--- a/lacewingdock/components/admission/fleet_budget.py
+++ b/lacewingdock/components/admission/fleet_budget.py
@@ -9,8 +9,8 @@
 # Of the retries that the operators allow a request, the part that each request
 # adds at once, and the part that may be saved up for later ones. Together they
 # stay under the whole, so that a span's retries do, wherever it begins.
-NOW_PART: Final = 0.85
-SAVED_PART: Final = 0.1
+IMMEDIATE_PART: Final = 0.85
+BURST_PART: Final = 0.1
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +25,7 @@
 
     ratio: float
     extra: float
-    span_s: float
+    window_s: float
 
 
 class FleetBudget(RetryBudget):
@@ -44,7 +44,9 @@
 
     def __init__(self, terms: RetryTerms) -> None:
         """Start with the part of the retries besides."""
-        super().__init__(terms.ratio * NOW_PART, terms.extra * NOW_PART)
+        super().__init__(
+            terms.ratio * IMMEDIATE_PART, terms.extra * IMMEDIATE_PART
+        )
         self.counts: deque[int] = deque([0], maxlen=_seconds(terms))
 
     def tick(self, terms: RetryTerms) -> None:
@@ -53,10 +55,10 @@
             self.counts = deque(self.counts, maxlen=_seconds(terms))
         recent = self.requests - self.counts[0]
         self.counts.append(self.requests)
-        saved = SAVED_PART * terms.ratio * recent
-        self.share = terms.ratio * NOW_PART
-        self.burst = terms.extra * NOW_PART + saved
+        saved = BURST_PART * terms.ratio * recent
+        self.share = terms.ratio * IMMEDIATE_PART
+        self.burst = terms.extra * IMMEDIATE_PART + saved
 
 
 def _seconds(terms: RetryTerms) -> int:
-    return max(int(terms.span_s), 1)
+    return max(int(terms.window_s), 1)
--- a/lacewingdock/components/admission/slots.py
+++ b/lacewingdock/components/admission/slots.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from lacewingdock.components.admission.pace import Pace
+from lacewingdock.components.admission.wait_estimate import WaitEstimator
 from lacewingdock.const import RAN_NO
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 
@@ -18,11 +18,11 @@
 class _Waiting:
     priority: int
     arrival: int
-    woken: threading.Event = field(
+    wake: threading.Event = field(
         default_factory=threading.Event, compare=False
     )
     granted: bool = field(default=False, compare=False)
-    gone: bool = field(default=False, compare=False)
+    removed: bool = field(default=False, compare=False)
     displaced: bool = field(default=False, compare=False)
 
 
@@ -47,9 +47,9 @@
 
     __slots__ = (
         "_arrivals",
+        "_exclusive",
         "_heap",
         "_lock",
-        "_loners",
         "alone",
         "capacity",
         "pace",
@@ -65,9 +65,9 @@
         self.running = 0
         self.queued = 0
         self.alone = False
-        self.pace = Pace(capacity, random.Random())
+        self.pace = WaitEstimator(capacity, random.Random())
         self._heap: list[_Waiting] = []
-        self._loners: list[_Waiting] = []
+        self._exclusive: list[_Waiting] = []
         self._arrivals = itertools.count()
         self._lock = threading.Lock()
 
@@ -78,7 +78,7 @@
         Reported as load, it sends other requests to other upstreams while
         this one empties.
         """
-        if self.alone or self._loners:
+        if self.alone or self._exclusive:
             return self.capacity
         return self.running
 
@@ -102,14 +102,14 @@
         Raises:
             LacewingdockError: OVERLOADED or DEADLINE, not run.
         """
-        self._take(priority, deadline, alone, on_wait)
+        self._acquire(priority, deadline, alone, on_wait)
         start = time.monotonic()
         try:
             yield
         finally:
-            self._give_back(time.monotonic() - start)
+            self._release(time.monotonic() - start)
 
-    def _take(
+    def _acquire(
         self,
         priority: int,
         deadline: float,
@@ -118,23 +118,23 @@
     ) -> None:
         with self._lock:
             if not self._is_free(alone):
-                self._make_room_locked(priority, deadline)
+                self._check_queue_locked(priority, deadline)
             waiting = _Waiting(priority, next(self._arrivals))
-            heapq.heappush(self._loners if alone else self._heap, waiting)
+            heapq.heappush(self._exclusive if alone else self._heap, waiting)
             self.queued += 1
             self._grant_locked()
         if on_wait is not None:
-            on_wait(waiting.woken.set)
-        waiting.woken.wait(max(0.0, deadline - time.monotonic()))
+            on_wait(waiting.wake.set)
+        waiting.wake.wait(max(0.0, deadline - time.monotonic()))
         with self._lock:
             if waiting.displaced:
                 raise self._overloaded_locked(
                     "a more urgent request took the place in the queue",
-                    self._ahead_locked(priority),
+                    self._count_ahead_locked(priority),
                 )
             if waiting.granted:
                 return
-            waiting.gone = True
+            waiting.removed = True
             self.queued -= 1
             # The rest may have waited only for this one to be alone.
             self._grant_locked()
@@ -142,25 +142,25 @@
             ErrorKind.DEADLINE, "it waited in the queue for too long", RAN_NO
         )
 
-    def _make_room_locked(self, priority: int, deadline: float) -> None:
-        ahead = self._ahead_locked(priority)
+    def _check_queue_locked(self, priority: int, deadline: float) -> None:
+        ahead = self._count_ahead_locked(priority)
         if time.monotonic() + self.pace.wait_s(ahead) > deadline:
             raise self._overloaded_locked(
                 "no slot is free before the deadline", ahead
             )
         if self.queued < self.queue_limit:
             return
-        waiting = [w for w in self._heap if not w.gone]
+        waiting = [w for w in self._heap if not w.removed]
         last = max(waiting, default=None)
         if last is None or last.priority <= priority:
             raise self._overloaded_locked("the upstream's queue is full", ahead)
-        last.gone = last.displaced = True
+        last.removed = last.displaced = True
         self.queued -= 1
-        last.woken.set()
+        last.wake.set()
 
-    def _ahead_locked(self, priority: int) -> int:
-        waiting = itertools.chain(self._heap, self._loners)
-        return sum(not w.gone and w.priority <= priority for w in waiting)
+    def _count_ahead_locked(self, priority: int) -> int:
+        waiting = itertools.chain(self._heap, self._exclusive)
+        return sum(not w.removed and w.priority <= priority for w in waiting)
 
     def _overloaded_locked(self, detail: str, ahead: int) -> LacewingdockError:
         return LacewingdockError(
@@ -168,13 +168,13 @@
         )
 
     def _is_free(self, alone: bool) -> bool:
-        if self.alone or self._loners:
+        if self.alone or self._exclusive:
             return False
         return self.running == 0 if alone else self.running < self.capacity
 
-    def _give_back(self, held_s: float) -> None:
+    def _release(self, held_s: float) -> None:
         with self._lock:
-            self.pace.count(held_s)
+            self.pace.record(held_s)
             self.running -= 1
             self.alone = False
             self._grant_locked()
@@ -184,27 +184,27 @@
 
         If others could slip in before them, they would wait for good.
         """
-        _drop_gone(self._loners)
-        _drop_gone(self._heap)
+        _drop_removed(self._exclusive)
+        _drop_removed(self._heap)
         if self.alone:
             return
-        if self._loners:
+        if self._exclusive:
             if self.running == 0:
                 self.alone = True
-                self._start_locked(self._loners)
+                self._start_locked(self._exclusive)
             return
         while self._heap and self.running < self.capacity:
             self._start_locked(self._heap)
-            _drop_gone(self._heap)
+            _drop_removed(self._heap)
 
     def _start_locked(self, heap: list[_Waiting]) -> None:
         waiting = heapq.heappop(heap)
         self.queued -= 1
         self.running += 1
         waiting.granted = True
-        waiting.woken.set()
+        waiting.wake.set()
 
 
-def _drop_gone(heap: list[_Waiting]) -> None:
-    while heap and heap[0].gone:
+def _drop_removed(heap: list[_Waiting]) -> None:
+    while heap and heap[0].removed:
         heapq.heappop(heap)
--- a/lacewingdock/components/admission/pace.py
+++ b/lacewingdock/components/admission/wait_estimate.py
@@ -4,12 +4,12 @@
 from typing import Final
 
 # Weight of the newest run: the last twenty or so decide.
-NEWEST: Final = 0.1
+NEWEST_WEIGHT: Final = 0.1
 # Those refused together shall not come back together.
-SPREAD: Final = 0.5
+RETRY_SPREAD: Final = 0.5
 
 
-class Pace:
+class WaitEstimator:
     """How long runs hold a slot, and what follows for those that wait.
 
     Attributes:
@@ -26,10 +26,10 @@
         self.mean_s = 0.0
         self.source = source
 
-    def count(self, held_s: float) -> None:
+    def record(self, held_s: float) -> None:
         """Take a run's time in."""
         if self.mean_s:
-            self.mean_s += NEWEST * (held_s - self.mean_s)
+            self.mean_s += NEWEST_WEIGHT * (held_s - self.mean_s)
         else:
             self.mean_s = held_s
 
@@ -41,4 +41,4 @@
         """Return when to come back; None while nothing is known."""
         if not self.mean_s:
             return None
-        return self.wait_s(ahead) * (1 + SPREAD * self.source.random())
+        return self.wait_s(ahead) * (1 + RETRY_SPREAD * self.source.random())
--- a/lacewingdock/components/cordons/__init__.py
+++ b/lacewingdock/components/cordons/__init__.py
@@ -33,39 +33,42 @@
         era: Era of the last list.
     """
 
-    __slots__ = ("directory", "domains", "doubted", "era")
+    __slots__ = ("directory", "domains", "era", "unconfirmed")
 
     def __init__(self, directory: Directory) -> None:
         """Start without cordons."""
         self.directory = directory
         self.domains: frozenset[str] = frozenset()
-        self.doubted: frozenset[str] = frozenset()
+        self.unconfirmed: frozenset[str] = frozenset()
         self.era = 0
 
     def replace(self, snapshot: Snapshot, *, doubtful: bool) -> None:
         """Take the whole list in; cordons do not lapse in an outage."""
         listed = frozenset(snapshot.objects)
         before, self.era = self.era, era_of(snapshot.revision)
-        lost = self.doubted if self.era == before else self.domains
-        self.doubted = lost - listed if doubtful else frozenset()
-        self._set(listed | self.doubted, snapshot.revision)
+        lost = self.unconfirmed if self.era == before else self.domains
+        self.unconfirmed = lost - listed if doubtful else frozenset()
+        self._set(listed | self.unconfirmed, snapshot.revision)
 
     def change(self, change: Change, *, doubtful: bool) -> None:
         """Take one change in."""
         stored = change.object
         domain = frozenset({stored.name})
         if change.unlisted and doubtful:
-            self.doubted |= domain & self.domains
+            self.unconfirmed |= domain & self.domains
             return
-        self.doubted -= domain
+        self.unconfirmed -= domain
         is_lifted = change.removed
         domains = self.domains - domain if is_lifted else self.domains | domain
         self._set(domains, stored.revision)
 
     def lift_unconfirmed(self) -> None:
         """Lift what the store does not show, once that is no more in doubt."""
-        if self.doubted:
-            domains, self.doubted = self.domains - self.doubted, frozenset()
+        if self.unconfirmed:
+            domains, self.unconfirmed = (
+                self.domains - self.unconfirmed,
+                frozenset(),
+            )
             self._set(domains)
 
     def _set(
--- a/lacewingdock/components/host_watch.py
+++ b/lacewingdock/components/host_watch.py
@@ -49,7 +49,7 @@
                 return
             found = parse_profile(text, self.path)
         except LacewingdockError as error:
-            self._tell_fault(error.detail, asked=asked)
+            self._log_fault(error.detail, asked=asked)
             return
         self.text, self.fault = text, ""
         taken, fixed = self.host.take(found)
@@ -57,7 +57,7 @@
             "settings read again", asked=asked, taken=taken, need_restart=fixed
         )
 
-    def _tell_fault(self, fault: str, *, asked: bool) -> None:
+    def _log_fault(self, fault: str, *, asked: bool) -> None:
         if fault != self.fault or asked:
             self.fault = fault
             log.error("settings not read again", asked=asked, error=fault)
--- a/lacewingdock/components/pacing/__init__.py
+++ b/lacewingdock/components/pacing/__init__.py
@@ -40,7 +40,7 @@
     compute_shares,
 )
 from lacewingdock.components.upstreams.instance import Instance
-from lacewingdock.helpers.recent import insert_lru
+from lacewingdock.helpers.lru import insert_lru
 from lacewingdock.world.host import Bounds
 from lacewingdock.world.route import ServiceLimits
 
--- a/lacewingdock/components/quarantine/placing.py
+++ b/lacewingdock/components/quarantine/placing.py
@@ -14,7 +14,7 @@
 from lacewingdock.components.routing.choice import choose_upstream
 from lacewingdock.const import RAN_NO
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
-from lacewingdock.helpers.recent import insert_lru
+from lacewingdock.helpers.lru import insert_lru
 from lacewingdock.world.upstream import Upstream
 
 
--- a/lacewingdock/components/readiness.py
+++ b/lacewingdock/components/readiness.py
@@ -35,7 +35,7 @@
         last: What was missing when it was asked last.
     """
 
-    __slots__ = ("last", "leaving", "listener", "missing")
+    __slots__ = ("last_missing", "leaving", "listener", "missing")
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         """
         self.missing = missing
         self.leaving = leaving
-        self.last: str | None = None
+        self.last_missing: str | None = None
         self.listener = Listener("ready", address, self.serve, MAX_CONNECTIONS)
 
     def serve(self, sock: socket.socket) -> None:
@@ -62,8 +62,8 @@
 
     def _answer(self, connection: ServerConnection, _: ServerRequest) -> None:
         missing = "leaving" if self.leaving.is_set() else self.missing()
-        if missing != self.last:
-            self.last = missing
+        if missing != self.last_missing:
+            self.last_missing = missing
             log.info("ready" if not missing else "not ready", missing=missing)
         status = HTTPStatus.SERVICE_UNAVAILABLE if missing else HTTPStatus.OK
         connection.answer(status, [], missing.encode())
--- a/lacewingdock/components/upstreams/directory.py
+++ b/lacewingdock/components/upstreams/directory.py
@@ -10,7 +10,7 @@
 from lacewingdock.components.upstreams.signals import SignalMemory
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.helpers.recent import insert_lru
+from lacewingdock.helpers.lru import insert_lru
 from lacewingdock.world.backend import UpstreamEntry
 
 # Entries that lapsed while the platform's store was away come back within
--- a/lacewingdock/components/upstreams/signals.py
+++ b/lacewingdock/components/upstreams/signals.py
@@ -24,7 +24,7 @@
 from lacewingdock.components.upstreams.rest import Rest
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.helpers.recent import insert_lru
+from lacewingdock.helpers.lru import insert_lru
 from lacewingdock.world.backend import UpstreamEntry
 from lacewingdock.world.call import AnswerHead
 
--- a/lacewingdock/helpers/append_log.py
+++ b/lacewingdock/helpers/append_log.py
@@ -89,13 +89,13 @@
                 others: the slot tried last stays the one tried next, so a
                 write that arrives late meets its own successor there.
         """
-        self._cover(after)
+        self._load_keys(after)
         left = {
             key: row for key, row in rows.items() if key not in self.slot_by_key
         }
         while left:
-            batch = _fitting(left)
-            self._advance(self._fill(batch))
+            batch = _first_batch(left)
+            self._advance(self._write_slot(batch))
             left = {
                 k: row for k, row in left.items() if k not in self.slot_by_key
             }
@@ -109,7 +109,7 @@
             }
             self.first = first
 
-    def _cover(self, after: int) -> None:
+    def _load_keys(self, after: int) -> None:
         """Read the slots whose keys are not in memory any more."""
         while self.first > after:
             slot = self.first - 1
@@ -117,7 +117,7 @@
                 self.slot_by_key[key] = slot
             self.first = slot
 
-    def _fill(self, batch: dict[str, bytes]) -> list[str]:
+    def _write_slot(self, batch: dict[str, bytes]) -> list[str]:
         """Create the next slot, or read what another put there."""
         try:
             self.store.put(
@@ -168,7 +168,7 @@
     ]
 
 
-def _fitting(rows: dict[str, bytes]) -> dict[str, bytes]:
+def _first_batch(rows: dict[str, bytes]) -> dict[str, bytes]:
     """Return as many of the first rows as one slot holds, at least one."""
     batch: dict[str, bytes] = {}
     size = 0
--- a/lacewingdock/helpers/datagrams.py
+++ b/lacewingdock/helpers/datagrams.py
@@ -13,7 +13,7 @@
 from lacewingdock.helpers.sockets import listen_error
 
 # What a task waits after a failed receive, so that it does not spin.
-RETRY_S: Final = 0.1
+RECEIVE_RETRY_S: Final = 0.1
 
 M = TypeVar("M")
 
@@ -60,10 +60,10 @@
         refused: Datagrams that were not taken.
     """
 
-    __slots__ = ("most_bytes", "name", "refused", "sent", "sock")
+    __slots__ = ("max_bytes", "name", "refused", "sent", "sock")
 
     def __init__(
-        self, name: str, address: tuple[str, int], most_bytes: int
+        self, name: str, address: tuple[str, int], max_bytes: int
     ) -> None:
         """Bind the port; 0 takes any that is free.
 
@@ -71,7 +71,7 @@
             LacewingdockError: PORT_TAKEN or BAD_SETTING.
         """
         self.name = name
-        self.most_bytes = most_bytes
+        self.max_bytes = max_bytes
         self.sent = 0
         self.refused = 0
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -83,26 +83,27 @@
 
     def listen(
         self,
-        take: Callable[[bytes, tuple[str, int]], None],
+        handle: Callable[[bytes, tuple[str, int]], None],
         stopping: threading.Event,
     ) -> None:
         """Hand datagrams on until the daemon stops.
 
         Args:
-            take: Takes a datagram and its sender; a coded error refuses it.
+            handle: Called with each datagram and the address of its sender;
+                a LacewingdockError rejects the datagram.
             stopping: Set when the daemon stops.
         """
         while not stopping.is_set():
             try:
-                data, sender = self.sock.recvfrom(self.most_bytes)
+                data, sender = self.sock.recvfrom(self.max_bytes)
             except OSError as error:
                 if stopping.is_set() or self.sock.fileno() < 0:
                     return
                 log.error("not received", port=self.name, error=repr(error))
-                stopping.wait(RETRY_S)
+                stopping.wait(RECEIVE_RETRY_S)
                 continue
             try:
-                take(data, sender)
+                handle(data, sender)
             except LacewingdockError as error:
                 self._refuse(sender[0], str(error))
             except Exception:
--- a/lacewingdock/helpers/http_client.py
+++ b/lacewingdock/helpers/http_client.py
@@ -52,7 +52,7 @@
     """
     received = io.BytesIO()
 
-    def take(data: bytes) -> int | None:
+    def append_body(data: bytes) -> int | None:
         if max_bytes is not None and received.tell() + len(data) > max_bytes:
             return _ABORT
         received.write(data)
@@ -71,7 +71,7 @@
             curl.setopt(pycurl.POSTFIELDS, body)
         if method:
             curl.setopt(pycurl.CUSTOMREQUEST, method)
-        curl.setopt(pycurl.WRITEFUNCTION, take)
+        curl.setopt(pycurl.WRITEFUNCTION, append_body)
         curl.perform()
         status = int(curl.getinfo(pycurl.RESPONSE_CODE))
     finally:
--- a/lacewingdock/helpers/http_connection.py
+++ b/lacewingdock/helpers/http_connection.py
@@ -163,20 +163,20 @@
         self.rfile = Reader(self.source, self.rbufsize)
         self.wfile = Writer(sock)
         self.drain = False
-        self.shaken = not isinstance(sock, ssl.SSLSocket)
+        self.handshake_done = not isinstance(sock, ssl.SSLSocket)
 
     def communicate(self) -> bool:
         """Serve one request; returns whether the connection stays open."""
         try:
             self.source.deadline = time.monotonic() + self.server.read_s
-            self.shake_hands()
+            self.ensure_handshake()
             return bool(super().communicate())
         except (OSError, errors.FatalSSLAlert):
             return False
         finally:
-            self.server.taken.add(-1)
+            self.server.active.add(-1)
 
-    def shake_hands(self) -> None:
+    def ensure_handshake(self) -> None:
         """Do the TLS handshake, in the task that serves the connection.
 
         In the accepting task one stalled handshake would keep every other
@@ -185,9 +185,9 @@
         Raises:
             OSError: The caller speaks no TLS or stalled.
         """
-        if not self.shaken:
+        if not self.handshake_done:
             self.socket.do_handshake()
-            self.shaken = True
+            self.handshake_done = True
 
     def close(self) -> None:
         """Close the connection, after what a refused caller still sends."""
--- a/lacewingdock/helpers/http_server.py
+++ b/lacewingdock/helpers/http_server.py
@@ -11,7 +11,7 @@
 
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.http_connection import Connection, Request
-from lacewingdock.helpers.http_threads import Threads
+from lacewingdock.helpers.http_threads import LazyThreadPool
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.sockets import listen_error
 from lacewingdock.helpers.tally import Tally
@@ -73,9 +73,9 @@
             request_queue_size=BACKLOG,
             shutdown_timeout=1,
         )
-        self.requests = Threads(self, threads)
+        self.requests = LazyThreadPool(self, threads)
         self.gateway = Gateway
-        self.taken = Tally()
+        self.active = Tally()
         self.refusals = Tally()
         self.read_s = read_s
         self.refusers = ThreadPoolExecutor(REFUSERS, "refuse")
@@ -92,9 +92,9 @@
             self._connections.put(conn)  # type: ignore[attr-defined]
             return
         if conn.last_used is not None:
-            if self.taken.add(1) <= self.numthreads and self._serve(conn):
+            if self.active.add(1) <= self.numthreads and self._serve(conn):
                 return
-            self.taken.add(-1)
+            self.active.add(-1)
         self._refuse_later(conn)
 
     def _serve(self, conn: Connection) -> bool:
@@ -116,7 +116,7 @@
     def _refuse(self, conn: Connection) -> None:
         try:
             conn.socket.settimeout(REFUSAL_TIMEOUT_S)
-            conn.shake_hands()
+            conn.ensure_handshake()
             error = LacewingdockError(
                 ErrorKind.OVERLOADED, "every thread of this instance is taken"
             )
--- a/lacewingdock/helpers/http_threads.py
+++ b/lacewingdock/helpers/http_threads.py
@@ -7,7 +7,7 @@
 from lacewingdock.helpers.tally import Tally
 
 
-class Threads(ThreadPool):
+class LazyThreadPool(ThreadPool):
     """A pool that starts a thread when a connection would wait for one.
 
     Hundreds of threads that never served anyone cost an idle entry megabytes
@@ -19,14 +19,14 @@
             wait for a thread.
     """
 
-    def __init__(self, server: Any, most: int) -> None:
+    def __init__(self, server: Any, max_threads: int) -> None:
         """Start without threads.
 
         Args:
             server: The server whose connections the threads serve.
-            most: Threads at most.
+            max_threads: Limit on the number of threads.
         """
-        super().__init__(server, min=most, max=most)
+        super().__init__(server, min=max_threads, max=max_threads)
         self.spare = Tally()
         # The base class's is an attribute, which would hide a method.
         self.get = self._get
--- a/lacewingdock/helpers/log_stream.py
+++ b/lacewingdock/helpers/log_stream.py
@@ -18,7 +18,7 @@
 BURST: Final = 2000.0
 # Lines are gathered this long and written together: one write and one thread
 # switch for many.
-GATHER_S: Final = 0.05
+BATCH_DELAY_S: Final = 0.05
 # How long the end of a process waits for its last lines to be read.
 DRAIN_S: Final = 0.3
 
@@ -33,21 +33,21 @@
     """
 
     __slots__ = (
-        "_at",
         "_lines",
         "_lock",
         "_ready",
-        "allowed",
+        "_refilled_at",
         "descriptor",
         "dropped",
+        "tokens",
     )
 
     def __init__(self, descriptor: int) -> None:
         """Start the thread."""
         self.descriptor = descriptor
         self.dropped = 0
-        self.allowed = BURST
-        self._at = time.monotonic()
+        self.tokens = BURST
+        self._refilled_at = time.monotonic()
         self._lines: deque[str] = deque()
         self._lock = threading.Lock()
         self._ready = threading.Event()
@@ -58,13 +58,13 @@
         """Take text, or drop it where too much waits or comes."""
         with self._lock:
             now = time.monotonic()
-            grown = self.allowed + (now - self._at) * LINES_PER_S
-            self.allowed = min(grown, BURST)
-            self._at = now
-            if self.allowed < 1 or len(self._lines) >= MAX_LINES:
+            grown = self.tokens + (now - self._refilled_at) * LINES_PER_S
+            self.tokens = min(grown, BURST)
+            self._refilled_at = now
+            if self.tokens < 1 or len(self._lines) >= MAX_LINES:
                 self.dropped += 1
                 return
-            self.allowed -= 1
+            self.tokens -= 1
             self._lines.append(text)
         self._ready.set()
 
@@ -75,12 +75,12 @@
         """Wait until all lines are written, for a while."""
         end = time.monotonic() + timeout_s
         while self._lines and time.monotonic() < end:
-            time.sleep(GATHER_S / 5)
+            time.sleep(BATCH_DELAY_S / 5)
 
     def _run(self) -> None:
         while True:
             self._ready.wait()
-            time.sleep(GATHER_S)
+            time.sleep(BATCH_DELAY_S)
             self._ready.clear()
             with self._lock:
                 lines = list(self._lines)
--- a/lacewingdock/helpers/recent.py
+++ b/lacewingdock/helpers/lru.py
@@ -8,17 +8,17 @@
 
 
 def insert_lru(
-    known: MutableMapping[K, V], key: K, value: V, most: int
+    entries: MutableMapping[K, V], key: K, value: V, max_entries: int
 ) -> None:
     """Put a value last in a mapping, and drop the first beyond a number.
 
     Args:
-        known: The mapping, in order of use.
+        entries: The mapping, in order of use.
         key: The key.
         value: The value.
-        most: Entries that are kept at most.
+        max_entries: Entries kept at most.
     """
-    known.pop(key, None)
-    known[key] = value
-    while len(known) > most:
-        del known[next(iter(known))]
+    entries.pop(key, None)
+    entries[key] = value
+    while len(entries) > max_entries:
+        del entries[next(iter(entries))]
--- a/lacewingdock/helpers/server_connection.py
+++ b/lacewingdock/helpers/server_connection.py
@@ -213,7 +213,7 @@
             raise LacewingdockError(kind, str(error)) from error
         return None if event is h11.NEED_DATA else event  # type: ignore[return-value]
 
-    def _check_head(self, request: h11.Request, most: int) -> None:
+    def _check_head(self, request: h11.Request, max_bytes: int) -> None:
         """Refuse a head that is too long, or gives its length in two ways.
 
         The library bounds only heads that come in several reads. Of two
@@ -225,10 +225,10 @@
         """
         size = len(request.method) + len(request.target)
         size += sum(len(n) + len(v) + 4 for n, v in request.headers)
-        if size > most:
+        if size > max_bytes:
             self.keep_alive = False
             raise LacewingdockError(
-                ErrorKind.HEADERS_TOO_LARGE, f"more than {most} bytes"
+                ErrorKind.HEADERS_TOO_LARGE, f"more than {max_bytes} bytes"
             )
         names = {name for name, _ in request.headers}
         if names >= {b"transfer-encoding", b"content-length"}:
@@ -238,7 +238,7 @@
                 "both Transfer-Encoding and Content-Length",
             )
 
-    def _read_body(self, until: float, most: int) -> bytes:
+    def _read_body(self, until: float, max_bytes: int) -> bytes:
         parts: list[bytes] = []
         size = 0
         while True:
@@ -246,10 +246,10 @@
             if isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
                 size += len(event.data)
-                if size > most:
+                if size > max_bytes:
                     self.keep_alive = False
                     raise LacewingdockError(
-                        ErrorKind.BODY_TOO_LARGE, f"more than {most} bytes"
+                        ErrorKind.BODY_TOO_LARGE, f"more than {max_bytes} bytes"
                     )
             elif isinstance(event, h11.EndOfMessage):
                 return b"".join(parts)
--- a/lacewingdock/helpers/sockets.py
+++ b/lacewingdock/helpers/sockets.py
@@ -15,7 +15,7 @@
 
 # A short pause where no descriptor is left: the connection stays in the
 # queue, and without it the loop would spin.
-EXHAUSTED_S: Final = 0.02
+ACCEPT_RETRY_S: Final = 0.02
 
 log = get_logger("sockets")
 
@@ -49,7 +49,7 @@
         "_executor",
         "address",
         "closed",
-        "most",
+        "max_connections",
         "name",
         "open",
         "refused",
@@ -62,7 +62,7 @@
         name: str,
         address: tuple[str, int],
         serve: Callable[[socket.socket], None],
-        most: int,
+        max_connections: int,
         sock: socket.socket | None = None,
     ) -> None:
         """Bind and listen, unless the port is open already.
@@ -72,7 +72,7 @@
         """
         self.name = name
         self.serve = serve
-        self.most = most
+        self.max_connections = max_connections
         self.open = Tally()
         self.refused = 0
         self.closed = False
@@ -81,7 +81,7 @@
         except OSError as error:
             raise listen_error(f"{address[0]}:{address[1]}", error) from error
         self.address = self.sock.getsockname()
-        self._executor = ThreadPoolExecutor(most, name)
+        self._executor = ThreadPoolExecutor(max_connections, name)
 
     def run(self, stopping: threading.Event) -> None:
         """Accept until the daemon stops."""
@@ -92,9 +92,9 @@
                 if self.closed or stopping.is_set():
                     return
                 log.error("accept failed", name=self.name, error=repr(error))
-                stopping.wait(EXHAUSTED_S)
+                stopping.wait(ACCEPT_RETRY_S)
                 continue
-            if self.open.add(1) > self.most:
+            if self.open.add(1) > self.max_connections:
                 self.open.add(-1)
                 self.refused += 1
                 sock.close()
--- a/lacewingdock/helpers/unknown_names.py
+++ b/lacewingdock/helpers/unknown_names.py
@@ -9,7 +9,7 @@
 # Names that are counted: whoever sends ever new ones must not fill the memory.
 MAX_NAMES: Final = 64
 # Longest name that is told.
-MAX_NAME: Final = 64
+MAX_NAME_CHARS: Final = 64
 # What the names beyond those are counted as.
 OTHERS: Final = "others"
 
@@ -42,11 +42,11 @@
             names: The names.
         """
         for name in names:
-            if self._is_new(name[:MAX_NAME]):
+            if self._is_new(name[:MAX_NAME_CHARS]):
                 log.warning(
                     "unknown name",
                     where=self.where,
-                    name=name[:MAX_NAME],
+                    name=name[:MAX_NAME_CHARS],
                     source=source,
                 )
 
--- a/tests/components/admission/test_urgency.py
+++ b/tests/components/admission/test_urgency.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from lacewingdock.components.admission.pace import SPREAD
 from lacewingdock.components.admission.slots import Slots
+from lacewingdock.components.admission.wait_estimate import RETRY_SPREAD
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 
 FAR = 30.0
@@ -103,7 +103,7 @@
     ):
         pass
     for _ in range(capacity):
-        slots._give_back(mean_s)
+        slots._release(mean_s)
     assert caught.value.ran == "no"
     if wait_s is None:
         assert caught.value.kind is ErrorKind.DEADLINE
@@ -111,4 +111,4 @@
         assert caught.value.kind is ErrorKind.OVERLOADED
         assert time.monotonic() - start < left_s
         retry = caught.value.retry_after_s
-        assert wait_s <= retry <= wait_s * (1 + SPREAD)
+        assert wait_s <= retry <= wait_s * (1 + RETRY_SPREAD)
--- a/tests/helpers/test_http_server.py
+++ b/tests/helpers/test_http_server.py
@@ -203,7 +203,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(server.requests, "_spawn_worker", _no_thread)
             assert problem(send(server, HELLO)) == "overloaded"
-        assert server.taken.value == 0
+        assert server.active.value == 0
         with connect(server) as sock:
             sock.sendall(HELLO)
             assert sock.recv(65536).startswith(b"HTTP/1.1 200")
@@ -230,8 +230,8 @@
             trickle.start()
         else:
             slow.sendall(HELLO.replace(b"/ ", path + b" "))
-        _wait(lambda: server.taken.value == 1)
-        _wait(lambda: server.taken.value == 0)
+        _wait(lambda: server.active.value == 1)
+        _wait(lambda: server.active.value == 0)
         assert b"200 OK" in send(server, HELLO)
         if path == b"/":
             trickle.join()
--- a/tests/helpers/test_log_stream.py
+++ b/tests/helpers/test_log_stream.py
@@ -29,7 +29,7 @@
     assert lines == [str(number) for number in range(50)]
 
 
-@pytest.mark.parametrize("pause_s", [0.0, 3 * log_stream.GATHER_S])
+@pytest.mark.parametrize("pause_s", [0.0, 3 * log_stream.BATCH_DELAY_S])
 def test_stalled_reader_blocks_nobody(pipe, monkeypatch, pause_s):
     """Symptom: requests hang while the log collector is stuck.
 
@@ -41,7 +41,7 @@
     monkeypatch.setattr(log_stream, "LINES_PER_S", 1e9)
     monkeypatch.setattr(log_stream, "BURST", 1e9)
     stream = LogStream(pipe[1])
-    stream.allowed = 1e9
+    stream.tokens = 1e9
     start = time.monotonic()
     for number in range(count):
         if number == count - 1000:
