--- a/lacewingdock/components/__init__.py
+++ b/lacewingdock/components/__init__.py
@@ -1,1 +1,1 @@
-"""Support for the domains that daemons are put together from."""
+"""Components, a folder per domain, that the daemons are built from."""
--- a/lacewingdock/components/admission/__init__.py
+++ b/lacewingdock/components/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Support for admitting no more work than there is capacity for."""
+"""Admission control: request slots, a bounded queue, and retry budgets."""
--- a/lacewingdock/components/admission/fleet_budget.py
+++ b/lacewingdock/components/admission/fleet_budget.py
@@ -1,4 +1,4 @@
-"""Support for a router's part of the retries that a whole fleet may make."""
+"""A router's share of the retry budget of the whole fleet."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -6,21 +6,22 @@
 
 from lacewingdock.components.admission.retry_budget import RetryBudget
 
-# Of the retries that the operators allow a request, the part that each request
-# adds at once, and the part that may be saved up for later ones. Together they
-# stay under the whole, so that a span's retries do, wherever it begins.
+# Parts of the configured retry ratio: the part that each request adds to the
+# bucket at once, and the part that may be saved up for later. Their sum is
+# below 1, so that the retries in any window stay within the ratio.
 IMMEDIATE_PART: Final = 0.85
 BURST_PART: Final = 0.1
 
 
 @dataclass(slots=True, frozen=True)
 class RetryTerms:
-    """What a router may make of a fleet's retries.
+    """A router's share of the fleet's retry budget.
 
     Attributes:
-        ratio: Retries allowed a request.
-        extra: This router's part of those allowed besides.
-        span_s: Span in which they are counted, in seconds.
+        ratio: Retries allowed per request.
+        extra: This router's share of the retries allowed in each window
+            regardless of the number of requests.
+        window_s: Length of the window, in seconds.
     """
 
     ratio: float
@@ -29,28 +30,30 @@
 
 
 class FleetBudget(RetryBudget):
-    """A retry budget whose size follows the fleet's and the traffic.
+    """A retry budget whose size follows the fleet size and the traffic.
 
-    The fleet may make so many retries a request and so many besides in any
-    span. The first part needs no division, as each router counts its own
-    requests; the second is divided by the routers there are. A large fleet's
-    part of it is under one retry, so some of the first part is saved up too.
+    In any window, the fleet may make a number of retries per request, plus a
+    fixed number of extra retries. The ratio needs no division, as each router
+    counts its own requests; the extra retries are divided by the number of
+    routers. In a large fleet that share is below one retry, so a part of the
+    ratio may be saved up as well.
 
     Attributes:
-        counts: Requests counted so far, at each of the last seconds.
+        counts: Total of requests at each of the last seconds of the window,
+            oldest first.
     """
 
     __slots__ = ("counts",)
 
     def __init__(self, terms: RetryTerms) -> None:
-        """Start with the part of the retries besides."""
+        """Start with this router's share of the extra retries."""
         super().__init__(
             terms.ratio * IMMEDIATE_PART, terms.extra * IMMEDIATE_PART
         )
         self.counts: deque[int] = deque([0], maxlen=_seconds(terms))
 
     def tick(self, terms: RetryTerms) -> None:
-        """Take the size anew; called once a second."""
+        """Update the size of the budget; must be called once a second."""
         if self.counts.maxlen != _seconds(terms):
             self.counts = deque(self.counts, maxlen=_seconds(terms))
         recent = self.requests - self.counts[0]
--- a/lacewingdock/components/admission/retry_budget.py
+++ b/lacewingdock/components/admission/retry_budget.py
@@ -1,27 +1,29 @@
-"""Support for limiting retries to a share of the requests."""
+"""Retry budget: limits retries to a share of the requests."""
 
 import threading
 from typing import Final
 
+# Retries that each request adds to the bucket.
 RETRY_SHARE: Final = 0.2
-# The requests that one lost upstream leaves behind are retried at once; an
-# entry of the largest size has about a dozen open with each.
+# Size of the bucket in retries. All requests at a lost upstream are retried at
+# once; an entry of the largest size has about a dozen open at each upstream.
 RETRY_BURST: Final = 32.0
 
 
 class RetryBudget:
-    """A token bucket that requests fill and retries empty.
+    """A token bucket that requests fill and retries drain.
 
-    When a pool runs out, every request is refused, and with three tries each
-    the pool sees three times the load that it could not carry before: it stays
-    full of tries after the callers' own load has gone down. A budget bounds
-    that to a fifth more, and costs nothing while refusals are rare.
+    An overloaded pool rejects every request. With three attempts each, it gets
+    three times the load that it could not serve before, and stays overloaded
+    by retries after the callers' load has dropped (a retry storm). The budget
+    limits the additional load to a fifth, and has no effect while rejections
+    are rare.
 
     Attributes:
         share: Retries that each request adds.
-        burst: Retries that may be saved up.
-        saved: Retries that may be made now.
-        requests: Requests counted so far.
+        burst: Size of the bucket, in retries.
+        saved: Retries that are available now.
+        requests: Number of requests counted.
     """
 
     __slots__ = ("_lock", "burst", "requests", "saved", "share")
@@ -37,13 +39,13 @@
         self._lock = threading.Lock()
 
     def count_request(self) -> None:
-        """Add a request's share."""
+        """Count a request and add its share of a retry."""
         with self._lock:
             self.requests += 1
             self.saved = min(self.burst, self.saved + self.share)
 
     def take(self) -> bool:
-        """Take one retry; False when there is none."""
+        """Use one retry; return False if none is available."""
         with self._lock:
             if self.saved < 1.0:
                 return False
--- a/lacewingdock/components/admission/slots.py
+++ b/lacewingdock/components/admission/slots.py
@@ -1,4 +1,4 @@
-"""Support for an upstream's slots, the most urgent waiting request first."""
+"""Request slots of an upstream, with a bounded priority queue."""
 
 import contextlib
 import heapq
@@ -27,22 +27,23 @@
 
 
 class Slots:
-    """A fixed number of slots and a bounded queue for them.
+    """A fixed number of slots and a bounded priority queue for them.
 
-    A request may ask to run alone. It then waits until the upstream is
-    empty, and nothing else starts before it has ended.
+    A request may ask to run alone. It then waits until the upstream is idle,
+    and no other request starts before it has ended.
 
-    A full queue gives the place of its least urgent request to a more urgent
-    one. What can't start before its deadline is refused when it comes: it
-    would only take a place from one that can.
+    If the queue is full, a new request displaces the least urgent queued one
+    that is less urgent than itself. A request that cannot start before its
+    deadline is rejected on arrival, so that it takes no place in the queue
+    from a request that can.
 
     Attributes:
-        capacity: Slots in all.
-        queue_limit: Requests that may wait.
-        running: Slots taken.
-        queued: Requests that wait.
-        alone: Whether what runs holds the upstream for itself.
-        pace: How long runs take.
+        capacity: Total number of slots.
+        queue_limit: Limit on queued requests.
+        running: Number of slots in use.
+        queued: Number of queued requests.
+        alone: Whether the running request has the upstream to itself.
+        pace: Estimates waiting times from the run times.
     """
 
     __slots__ = (
@@ -73,10 +74,10 @@
 
     @property
     def occupied(self) -> int:
-        """Slots that new work can't have; all, while one wants to be alone.
+        """Slots that are unavailable to new requests.
 
-        Reported as load, it sends other requests to other upstreams while
-        this one empties.
+        All slots count while a request runs alone or waits to: reported as
+        load, this directs other requests to other upstreams in the meantime.
         """
         if self.alone or self._exclusive:
             return self.capacity
@@ -93,14 +94,15 @@
         """Hold a slot for the length of a `with` block.
 
         Args:
-            priority: 0 is the most urgent; equal ones go in order.
-            deadline: Monotonic time after which waiting is useless.
-            alone: Whether nothing else may run meanwhile.
-            on_wait: Called with what ends the waiting, for a request that
-                nobody waits for any more must not keep a place.
+            priority: 0 is the most urgent; requests of equal priority start in
+                order of arrival.
+            deadline: Monotonic time until which the request may wait.
+            alone: Whether no other request may run at the same time.
+            on_wait: Called with a function that ends the wait, so that a
+                cancelled request does not keep its place in the queue.
 
         Raises:
-            LacewingdockError: OVERLOADED or DEADLINE, not run.
+            LacewingdockError: OVERLOADED or DEADLINE; the request did not run.
         """
         self._acquire(priority, deadline, alone, on_wait)
         start = time.monotonic()
@@ -129,24 +131,26 @@
         with self._lock:
             if waiting.displaced:
                 raise self._overloaded_locked(
-                    "a more urgent request took the place in the queue",
+                    "displaced from the queue by a more urgent request",
                     self._count_ahead_locked(priority),
                 )
             if waiting.granted:
                 return
             waiting.removed = True
             self.queued -= 1
-            # The rest may have waited only for this one to be alone.
+            # Others may have waited only because this request had to run alone.
             self._grant_locked()
         raise LacewingdockError(
-            ErrorKind.DEADLINE, "it waited in the queue for too long", RAN_NO
+            ErrorKind.DEADLINE,
+            "the deadline passed while the request was queued",
+            RAN_NO,
         )
 
     def _check_queue_locked(self, priority: int, deadline: float) -> None:
         ahead = self._count_ahead_locked(priority)
         if time.monotonic() + self.pace.wait_s(ahead) > deadline:
             raise self._overloaded_locked(
-                "no slot is free before the deadline", ahead
+                "no slot is expected to be free before the deadline", ahead
             )
         if self.queued < self.queue_limit:
             return
@@ -180,9 +184,10 @@
             self._grant_locked()
 
     def _grant_locked(self) -> None:
-        """Start what may start: those that want to be alone go first.
+        """Start all requests that may start, those that run alone first.
 
-        If others could slip in before them, they would wait for good.
+        If other requests could start before them, a request that must run
+        alone might wait forever.
         """
         _drop_removed(self._exclusive)
         _drop_removed(self._heap)
--- a/lacewingdock/components/cordons/__init__.py
+++ b/lacewingdock/components/cordons/__init__.py
@@ -1,8 +1,8 @@
-"""Support for cordoned failure domains, whose instances get no new work.
+"""Cordoned failure domains, whose instances get no new requests.
 
-An operator cordons a failure domain before it is worked on, and takes that
-back afterwards. Requests that run there end there; nothing else goes there,
-also where no other failure domain is left.
+An operator cordons a failure domain before maintenance and lifts the cordon
+afterwards. Running requests complete there; no other request is sent there,
+even if no other failure domain is left.
 """
 
 from lacewingdock.components.upstreams.directory import Directory
@@ -14,36 +14,38 @@
 
 
 class CordonListener:
-    """Takes the cordons from their mirror; each is named like its domain.
+    """Applies the cordons in the store; each is named after its domain.
 
-    Only the platform's objects say what is cordoned, never what another
-    process tells by itself. What they contain says nothing, so an object that
-    can't be read counts too.
+    Only objects in the platform's store cordon a domain, never messages of
+    other processes. Their content is ignored, so an object that cannot be
+    parsed counts as well.
 
-    A cordon that goes missing when the store is back from a copy may have been
-    lifted, or the store may have lost it. It stands until that is known:
-    without a failure domain for seconds callers wait a little, and work in one
-    that is being emptied breaks a promise. What the store shows counts at once,
-    also where it lost that the cordon was lifted.
+    If a cordon is missing after the store was restored from a backup, either
+    it was lifted or the store lost it. The cordon stays in effect until this is
+    resolved: a failure domain that is unavailable for some seconds makes
+    callers wait a little, but new work in a domain under maintenance breaks a
+    guarantee. A cordon that the store does list applies at once, even if the
+    store lost the removal of that cordon.
 
     Attributes:
-        directory: Whose instances are cordoned.
+        directory: Directory whose instances are cordoned.
         domains: The cordoned failure domains.
-        doubted: Those of them that the store does not show.
-        era: Era of the last list.
+        unconfirmed: Cordoned failure domains that the restored store does not
+            list.
+        era: Era of the last list; it changes when the store is restored.
     """
 
     __slots__ = ("directory", "domains", "era", "unconfirmed")
 
     def __init__(self, directory: Directory) -> None:
-        """Start without cordons."""
+        """Start with no domain cordoned."""
         self.directory = directory
         self.domains: frozenset[str] = frozenset()
         self.unconfirmed: frozenset[str] = frozenset()
         self.era = 0
 
     def replace(self, snapshot: Snapshot, *, doubtful: bool) -> None:
-        """Take the whole list in; cordons do not lapse in an outage."""
+        """Apply a complete list; cordons do not expire in an outage."""
         listed = frozenset(snapshot.objects)
         before, self.era = self.era, era_of(snapshot.revision)
         lost = self.unconfirmed if self.era == before else self.domains
@@ -51,7 +53,7 @@
         self._set(listed | self.unconfirmed, snapshot.revision)
 
     def change(self, change: Change, *, doubtful: bool) -> None:
-        """Take one change in."""
+        """Apply one change; if doubtful, an unlisted cordon stays."""
         stored = change.object
         domain = frozenset({stored.name})
         if change.unlisted and doubtful:
@@ -63,7 +65,7 @@
         self._set(domains, stored.revision)
 
     def lift_unconfirmed(self) -> None:
-        """Lift what the store does not show, once that is no more in doubt."""
+        """Lift the unconfirmed cordons, once the store is complete again."""
         if self.unconfirmed:
             domains, self.unconfirmed = (
                 self.domains - self.unconfirmed,
--- a/lacewingdock/components/host_watch.py
+++ b/lacewingdock/components/host_watch.py
@@ -1,4 +1,4 @@
-"""Support for settings that the platform changes while a router runs."""
+"""Reloads the host profile when its file changes while a router runs."""
 
 from typing import Final
 
@@ -7,41 +7,42 @@
 from lacewingdock.platform.profile import parse_profile, read_text
 from lacewingdock.world.host import HostProfile
 
-# The file may change without a signal. Reading 2 KB takes 28 us, and 236
-# us where the text changed (processor time, mean of 2,000).
+# Seconds between checks of the profile file, which may change without a signal.
+# Reading 2 KB takes 28 us of processor time, and 236 us if the text changed.
 CHECK_INTERVAL_S: Final = 1.0
 
 log = get_logger("settings")
 
 
 class HostWatch:
-    """Takes a changed settings file into the profile in use.
+    """Applies changes of the profile file to the profile in use.
 
-    A file that is missing or faulty, for instance while it is being written,
-    leaves the older settings in use; it is told once, and looked at again.
+    If the file is missing or invalid, for instance while it is being written,
+    the previous settings stay in use. The error is logged once, and the file
+    is read again at the next check.
 
     Attributes:
-        path: Where the file lies.
+        path: Path of the profile file.
         host: The profile in use.
-        text: What the file held when it was looked at last.
-        fault: Why it could not be taken; empty if it could.
+        text: Text of the file when it was last loaded.
+        fault: Error of the last failed load; empty after a successful one.
     """
 
     __slots__ = ("fault", "host", "path", "text")
 
     def __init__(self, path: str, text: str, host: HostProfile) -> None:
-        """Take the file as it was read at start."""
+        """Start from the text and the profile that were loaded at startup."""
         self.path = path
         self.text = text
         self.host = host
         self.fault = ""
 
     def check(self, *, asked: bool) -> None:
-        """Look at the file, and take it if it changed.
+        """Read the file and apply it if it changed.
 
         Args:
-            asked: Whether an operator asked for it, who is told the outcome
-                also where nothing changed.
+            asked: Whether an operator requested the reload by a signal; the
+                outcome is then logged even if nothing changed.
         """
         try:
             text = read_text(self.path)
--- a/lacewingdock/components/readiness.py
+++ b/lacewingdock/components/readiness.py
@@ -1,4 +1,4 @@
-"""Support for telling the balancer whether to send callers here."""
+"""Readiness endpoint for the load balancer in front of the routers."""
 
 import socket
 import threading
@@ -17,22 +17,24 @@
 from lacewingdock.helpers.sockets import Listener
 from lacewingdock.world.route import CallerLimits
 
-# The balancer asks once a second, mostly over a kept connection.
+# The load balancer probes once a second, usually over a persistent connection.
 _LIMITS: Final = CallerLimits(read_s=1.0, idle_s=10.0)
-# One balancer, which may open a new connection before an old one is closed.
+# Concurrent connections: there is one load balancer, which may open a new
+# connection before it has closed the old one.
 MAX_CONNECTIONS: Final = 16
 
 log = get_logger("readiness")
 
 
 class ReadinessServer:
-    """Answers 200 while this router can serve, and 503 otherwise.
+    """Answers 200 while this router can serve requests, and 503 otherwise.
 
     Attributes:
-        missing: Returns what is missing to serve; empty if nothing.
-        leaving: Set once the daemon is to stop.
+        missing: Returns what this router lacks to serve requests; empty if it
+            is ready.
+        leaving: Set when the daemon starts to drain.
         listener: Accepts the connections.
-        last: What was missing when it was asked last.
+        last_missing: Result of the last probe; a change is logged.
     """
 
     __slots__ = ("last_missing", "leaving", "listener", "missing")
@@ -43,7 +45,7 @@
         missing: Callable[[], str],
         leaving: threading.Event,
     ) -> None:
-        """Bind the port; `listener.run` serves it.
+        """Bind the port; `listener.run` accepts connections on it.
 
         Raises:
             LacewingdockError: PORT_TAKEN or BAD_SETTING.
@@ -54,11 +56,11 @@
         self.listener = Listener("ready", address, self.serve, MAX_CONNECTIONS)
 
     def serve(self, sock: socket.socket) -> None:
-        """Serve one connection."""
+        """Serve the probes of one connection."""
         try:
             serve_requests(sock, _LIMITS, self._answer)
         except (CallerDisconnected, LacewingdockError) as error:
-            log.info("question unread", error=repr(error))
+            log.info("readiness probe not read", error=repr(error))
 
     def _answer(self, connection: ServerConnection, _: ServerRequest) -> None:
         missing = "leaving" if self.leaving.is_set() else self.missing()
--- a/lacewingdock/helpers/__init__.py
+++ b/lacewingdock/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Support code shared by components."""
+"""Helpers shared by the components."""
--- a/lacewingdock/helpers/address.py
+++ b/lacewingdock/helpers/address.py
@@ -1,11 +1,11 @@
-"""Support for addresses; loads nothing."""
+"""Parsing of addresses; imports no other module."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the host and the port of "IP:PORT".
+    """Split "IP:PORT" into the host and the port number.
 
     Raises:
-        ValueError: The port is no number.
+        ValueError: The port is not an integer.
     """
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/lacewingdock/helpers/append_log.py
+++ b/lacewingdock/helpers/append_log.py
@@ -1,12 +1,12 @@
-"""Support for an append log that holds each row once, kept in the platform.
-
-A log is a row of slots, each an object that is created once and never
-changed: "NAME/00000000", "NAME/00000001" and so on. To append is to create
-the first free slot, on the condition that it does not exist. Whoever creates
-slot n has read every slot before it in which its rows could be, so no row
-gets in twice however many processes append to one log. A log has one writer
-as a rule; others come only to append what a dead or silent writer may have
-left unwritten.
+"""Append-only log in the platform's store that holds each row exactly once.
+
+A log is a sequence of slots, each an object that is created once and never
+changed: "NAME/00000000", "NAME/00000001" and so on. A writer appends by
+creating the first free slot, on the condition that the object does not exist
+yet. Before it creates slot n, it has read every earlier slot that could hold
+its rows, so no row is written twice however many processes append to one log.
+A log normally has one writer; other processes append only the rows that a
+dead or unresponsive writer may have left unwritten.
 """
 
 import base64
@@ -19,35 +19,37 @@
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.platform.store import ABSENT, Stored
 
-# The platform holds values up to a megabyte; packing only makes them smaller.
+# Bytes of JSON in one slot. The platform limits values to a megabyte, and
+# compression only makes them smaller.
 MAX_SLOT_BYTES: Final = 900_000
-# Slots whose keys a log keeps in memory; older ones are read again if asked.
+# Slots whose keys stay in memory; older slots are read again when needed.
 REMEMBERED_SLOTS: Final = 16
 
 
 class SlotStore(Protocol):
-    """What a log needs of the platform; `ObjectStore` gives it."""
+    """Store operations that a log uses; `ObjectStore` implements them."""
 
     def get(self, collection: str, name: str, purpose: str) -> Stored:
-        """Read an object; a missing one has revision `ABSENT`."""
+        """Read an object; a missing object has revision `ABSENT`."""
 
     def put(
         self, collection: str, name: str, value: Any, expect: int, purpose: str
     ) -> Stored:
-        """Write an object if its revision is the expected one."""
+        """Write an object if its revision equals `expect`."""
 
 
 class AppendLog:
-    """One process's view of a log; not for several tasks at once.
+    """One process's view of a log; not thread-safe.
 
     Attributes:
-        store: The platform.
-        collection: The collection that the slots are in.
+        store: The platform's object store.
+        collection: Collection of the slot objects.
         name: Name of the log.
-        key_of: Tells the key that a row has; equal keys are one row.
-        first: The keys of all slots from this one on are in `seen`.
-        slot: The first slot that isn't known to be taken.
-        seen: Slot by key, of the slots read or written.
+        key_of: Returns the key of a row; rows with equal keys are duplicates.
+        first: First slot whose keys, like those of all later slots, are in
+            `slot_by_key`.
+        slot: The next slot to create; all earlier slots exist.
+        slot_by_key: Slot number by row key, for the slots read or written.
     """
 
     __slots__ = (
@@ -68,7 +70,7 @@
         key_of: Callable[[bytes], str],
         first: int = 0,
     ) -> None:
-        """Start at a slot; nothing is read or written yet."""
+        """Start at slot `first`, without reading or writing anything."""
         self.store = store
         self.collection = collection
         self.name = name
@@ -77,17 +79,18 @@
         self.slot_by_key: dict[str, int] = {}
 
     def append(self, rows: dict[str, bytes], after: int) -> None:
-        """Append the rows that the log doesn't hold yet.
+        """Append the rows that the log does not contain yet.
 
         Args:
             rows: Rows, each valid JSON, by key.
-            after: None of them is in a slot before this one.
+            after: First slot that may contain any of these rows already.
 
         Raises:
             LacewingdockError: PLATFORM_UNAVAILABLE. Some rows may be in the
-                log; `seen` tells which are known to be. Call again with the
-                others: the slot tried last stays the one tried next, so a
-                write that arrives late meets its own successor there.
+                log; `slot_by_key` holds those that are confirmed. Call again
+                with the others: the retry uses the same slot, so a delayed
+                write of the first attempt conflicts with it there instead of
+                adding the rows a second time.
         """
         self._load_keys(after)
         left = {
@@ -101,7 +104,7 @@
             }
 
     def evict_old_keys(self) -> None:
-        """Drop the keys of old slots from memory."""
+        """Drop the keys of all but the last `REMEMBERED_SLOTS` slots."""
         first = self.slot - REMEMBERED_SLOTS
         if first > self.first:
             self.slot_by_key = {
@@ -110,7 +113,7 @@
             self.first = first
 
     def _load_keys(self, after: int) -> None:
-        """Read the slots whose keys are not in memory any more."""
+        """Read the evicted keys of the slots from `after` on again."""
         while self.first > after:
             slot = self.first - 1
             for key in self._read(slot):
@@ -118,7 +121,11 @@
             self.first = slot
 
     def _write_slot(self, batch: dict[str, bytes]) -> list[str]:
-        """Create the next slot, or read what another put there."""
+        """Create the next slot, or read it if it exists already.
+
+        Returns:
+            The keys of the rows in the slot.
+        """
         try:
             self.store.put(
                 self.collection,
@@ -130,8 +137,8 @@
         except LacewingdockError as error:
             if error.kind is not ErrorKind.CONFLICT:
                 raise
-            # Another process was here, or an earlier try of this one whose
-            # answer was lost; either way the slot says what is in it.
+            # Another process created the slot, or an earlier attempt of this
+            # process did and its answer was lost; the slot's rows decide.
             return self._read(self.slot)
         return list(batch)
 
@@ -147,19 +154,19 @@
 
 
 def slot_name(name: str, slot: int) -> str:
-    """Return the name of a slot's object; names sort as slots do."""
+    """Return the name of a slot's object; names sort in slot order."""
     return f"{name}/{slot:08d}"
 
 
 def pack(rows: list[bytes]) -> str:
-    """Turn JSON rows into the value of a slot: zlib, then base64."""
+    """Encode JSON rows as the value of a slot: zlib, then base64."""
     return base64.b64encode(
         zlib.compress(b"[" + b",".join(rows) + b"]")
     ).decode()
 
 
 def unpack(value: Any) -> list[bytes]:
-    """Return the JSON rows of a slot's value; none of a tombstone's."""
+    """Decode the JSON rows of a slot's value; a tombstone has none."""
     if not value:
         return []
     text = zlib.decompress(base64.b64decode(value))
@@ -169,7 +176,7 @@
 
 
 def _first_batch(rows: dict[str, bytes]) -> dict[str, bytes]:
-    """Return as many of the first rows as one slot holds, at least one."""
+    """Return the leading rows that fit into one slot, at least one row."""
     batch: dict[str, bytes] = {}
     size = 0
     for key, row in rows.items():
--- a/lacewingdock/helpers/backoff.py
+++ b/lacewingdock/helpers/backoff.py
@@ -1,22 +1,24 @@
-"""Support for waiting longer after each failure in a row."""
+"""Exponential backoff with jitter."""
 
 import random
 from typing import Final
 
+# Growth of the pause with each consecutive failure.
 FACTOR: Final = 2.0
 
 
 class Backoff:
-    """Pauses that double up to a limit, each drawn at random below it.
+    """Pauses that double up to a limit, with jitter of up to half of each.
 
-    After an outage all daemons find the platform back at the same moment; a
-    fixed pause would let them call in step and bring it down again.
+    After an outage all daemons can reach the platform again at the same
+    moment; with fixed pauses their calls would stay synchronized and overload
+    it again.
 
     Attributes:
-        first_s: Longest first pause, in seconds.
-        limit_s: Longest pause, in seconds.
-        failures: Failures in a row.
-        source: Source of the draw.
+        first_s: Upper bound of the first pause, in seconds.
+        limit_s: Upper bound of any pause, in seconds.
+        failures: Consecutive failures, counted until the limit is reached.
+        source: Random source of the jitter.
     """
 
     __slots__ = ("failures", "first_s", "limit_s", "source")
@@ -24,7 +26,7 @@
     def __init__(
         self, first_s: float, limit_s: float, source: random.Random
     ) -> None:
-        """Start without a failure."""
+        """Start with no failures counted."""
         self.first_s = first_s
         self.limit_s = limit_s
         self.source = source
@@ -33,11 +35,12 @@
     def failed(self) -> float:
         """Count a failure and return the seconds to pause."""
         limit = min(self.limit_s, self.first_s * FACTOR**self.failures)
-        # The exponent stays small however long the outage lasts.
+        # Stops counting at the limit: a growing exponent would overflow in a
+        # long outage.
         if limit < self.limit_s:
             self.failures += 1
         return limit * self.source.uniform(0.5, 1.0)
 
     def succeeded(self) -> None:
-        """Start again from the first pause."""
+        """Reset to the first pause."""
         self.failures = 0
--- a/lacewingdock/helpers/clock.py
+++ b/lacewingdock/helpers/clock.py
@@ -1,4 +1,4 @@
-"""Support for clocks: one that a test can stand in for, one since boot."""
+"""Clocks: a replaceable monotonic clock, and the time since boot."""
 
 import threading
 import time
@@ -8,7 +8,7 @@
 
 
 class Clock(Protocol):
-    """Time as a task sees it."""
+    """Interface of a monotonic clock, which tests replace by a fake."""
 
     def now(self) -> float:
         """Return the monotonic time, in seconds."""
@@ -18,7 +18,7 @@
 
 
 class SteadyClock:
-    """The process's own monotonic clock."""
+    """The monotonic clock of the operating system."""
 
     __slots__ = ()
 
@@ -35,14 +35,14 @@
 
 
 def since_boot() -> float:
-    """Return seconds since the machine's boot, suspended ones too.
+    """Return the seconds since the machine booted, including suspended time.
 
-    The monotonic clock stands still while a machine is suspended: what waited
-    in its sockets all the while would look as if it had just come.
+    The monotonic clock stops while a machine is suspended: by that clock, data
+    that waited in a socket during the suspension would look new.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def stamp_ms() -> int:
-    """Return milliseconds since boot, to be compared with later stamps."""
+    """Return a timestamp in milliseconds since boot, suspension included."""
     return int(since_boot() * MS_PER_S)
--- a/lacewingdock/helpers/command.py
+++ b/lacewingdock/helpers/command.py
@@ -1,4 +1,4 @@
-"""Support for commands whose arguments stay text until they are checked."""
+"""Command line commands whose arguments stay text until validated."""
 
 import functools
 import inspect
@@ -12,6 +12,7 @@
 from lacewingdock.helpers.describe import describe
 from lacewingdock.settings import SECRETS, variable
 
+# Columns of the help text.
 WIDTH: Final = 78
 _INDENT: Final = "      "
 
@@ -19,13 +20,14 @@
 def command(*settings: type[Any]) -> Callable[[Callable[..., Any]], Any]:
     """Make a method a command.
 
-    `fire` reads arguments as Python values ("007" becomes 7, "1e3" a float),
-    answers what it does not know in its own words, and goes on into the
-    command's result ("version upper"). Here arguments stay text, errors are
-    coded, and the result is printed.
+    `fire` parses arguments as Python values ("007" becomes 7, "1e3" a float),
+    reports unknown arguments in its own format, and applies further arguments
+    to the command's result ("version upper" calls `upper` on the version).
+    Here arguments stay text, errors have codes, and the result is printed.
 
     Args:
-        *settings: Classes whose settings the command takes as flags.
+        *settings: Settings classes whose attributes the command accepts as
+            flags.
     """
 
     def decorate(function: Callable[..., Any]) -> Callable[..., None]:
@@ -44,8 +46,8 @@
             if result is not None:
                 print(result)
 
-        # fire would read the wrapped method's signature and refuse before
-        # the checks above.
+        # With `__wrapped__`, fire would check arguments against the signature
+        # of the wrapped method and reject them before the checks above.
         del checked.__wrapped__
         checked.command = (function, settings)  # type: ignore[attr-defined]
         return SetParseFn(str)(checked)
@@ -56,7 +58,7 @@
 def usage(
     function: Callable[..., Any], settings: Sequence[type[Any]] = ()
 ) -> str:
-    """Return the help of a command: what it does and every setting."""
+    """Return the help text of a command and of each of its settings."""
     lines = [f"lacewingdock {function.__name__}{_positional(function)}", ""]
     lines += [inspect.getdoc(function) or ""]
     if settings:
@@ -95,7 +97,7 @@
 
 
 def overview(commands: type[Any]) -> str:
-    """Return one line for each command."""
+    """Return the list of commands, with one line of help for each."""
     lines = [inspect.getdoc(commands) or "", "", "Commands:"]
     for name, (function, _) in command_table(commands).items():
         first = (inspect.getdoc(function) or "").partition("\n")[0]
@@ -106,7 +108,7 @@
 def command_table(
     commands: type[Any],
 ) -> dict[str, tuple[Callable[..., Any], Sequence[type[Any]]]]:
-    """Return each command's function and settings by its name."""
+    """Return the function and the settings classes of each command."""
     return {
         name: method.command
         for name, method in vars(commands).items()
--- a/lacewingdock/helpers/datagrams.py
+++ b/lacewingdock/helpers/datagrams.py
@@ -1,4 +1,4 @@
-"""Support for a port that takes and sends datagrams."""
+"""UDP ports that receive and send MessagePack datagrams."""
 
 import contextlib
 import socket
@@ -12,7 +12,7 @@
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.sockets import listen_error
 
-# What a task waits after a failed receive, so that it does not spin.
+# Pause in seconds after a failed receive, which prevents a busy loop.
 RECEIVE_RETRY_S: Final = 0.1
 
 M = TypeVar("M")
@@ -26,12 +26,12 @@
     """Decode a datagram.
 
     Args:
-        decoder: Decodes what comes on a port.
-        name: What the port is for.
+        decoder: Decoder for the port's message type.
+        name: Name of the port, for the error.
         data: The datagram.
 
     Raises:
-        LacewingdockError: BAD_REQUEST.
+        LacewingdockError: BAD_REQUEST, if the datagram is invalid.
     """
     try:
         return decoder.decode(data)
@@ -40,24 +40,24 @@
 
 
 def bad_message(name: str, detail: str) -> LacewingdockError:
-    """Return the coded error of a message that is not taken."""
+    """Return a BAD_REQUEST error for an invalid message."""
     return LacewingdockError(ErrorKind.BAD_REQUEST, f"{name}: {detail}")
 
 
 def sender_mismatch(name: str, sender: str) -> LacewingdockError:
-    """Return the coded error of a message that its sender did not send."""
+    """Return the error for a message from another address than its sender's."""
     return bad_message(name, f"not from the address of {sender!r}")
 
 
 class DatagramPort:
-    """A UDP port.
+    """A UDP socket that passes received datagrams to a handler.
 
     Attributes:
-        name: What it is for, in the log.
+        name: Name of the port in the log.
         sock: The socket.
-        most_bytes: Longest datagram that is read.
-        sent: Datagrams sent.
-        refused: Datagrams that were not taken.
+        max_bytes: Longest datagram that is read, in bytes.
+        sent: Number of datagrams sent.
+        refused: Number of datagrams that the handler rejected.
     """
 
     __slots__ = ("max_bytes", "name", "refused", "sent", "sock")
@@ -65,7 +65,7 @@
     def __init__(
         self, name: str, address: tuple[str, int], max_bytes: int
     ) -> None:
-        """Bind the port; 0 takes any that is free.
+        """Bind the port; port 0 binds any free port.
 
         Raises:
             LacewingdockError: PORT_TAKEN or BAD_SETTING.
@@ -86,7 +86,7 @@
         handle: Callable[[bytes, tuple[str, int]], None],
         stopping: threading.Event,
     ) -> None:
-        """Hand datagrams on until the daemon stops.
+        """Pass datagrams to a handler until the daemon stops.
 
         Args:
             handle: Called with each datagram and the address of its sender;
@@ -99,7 +99,7 @@
             except OSError as error:
                 if stopping.is_set() or self.sock.fileno() < 0:
                     return
-                log.error("not received", port=self.name, error=repr(error))
+                log.error("receive failed", port=self.name, error=repr(error))
                 stopping.wait(RECEIVE_RETRY_S)
                 continue
             try:
@@ -107,23 +107,26 @@
             except LacewingdockError as error:
                 self._refuse(sender[0], str(error))
             except Exception:
-                # A task that died unseen would leave this daemon deaf to all
-                # others for good.
-                log.exception("not taken", port=self.name, sender=sender[0])
+                # An unhandled error would end this thread, and the daemon
+                # would never receive another message from its peers.
+                log.exception(
+                    "datagram handler failed", port=self.name, sender=sender[0]
+                )
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send a datagram; one that does not go out is as good as lost."""
+        """Send a datagram; a failed send counts as a lost datagram."""
         with contextlib.suppress(OSError):
             self.sock.sendto(data, socket.MSG_DONTWAIT, address)
             self.sent += 1
 
     def close(self) -> None:
-        """Close the port."""
+        """Close the socket."""
         self.sock.close()
 
     def _refuse(self, sender: str, error: str) -> None:
         self.refused += 1
-        # Whoever sends these may send many: told at 1, 2, 4, 8 ...
+        # Logs only the 1st, 2nd, 4th, 8th ... rejection: a faulty sender may
+        # send many datagrams.
         if self.refused & (self.refused - 1) == 0:
             log.error(
                 "datagram refused",
--- a/lacewingdock/helpers/describe.py
+++ b/lacewingdock/helpers/describe.py
@@ -1,4 +1,4 @@
-"""Support for describing settings and configured objects in words."""
+"""Descriptions of settings and configured objects for help and docs."""
 
 import builtins
 import inspect
@@ -13,7 +13,7 @@
 
 
 def allowed(hint: Any) -> str:
-    """Say in words what a setting's type lets through."""
+    """Describe the values that a setting's type allows."""
     meta = Meta()
     if typing.get_origin(hint) is Annotated:
         hint, meta = hint.__origin__, hint.__metadata__[0]
@@ -42,16 +42,16 @@
 
 
 def _number(value: float) -> str:
-    """Return a bound as text, whole ones without a fraction.
+    """Return a bound as text, without a fraction if it is integral.
 
-    `typing` keeps one of two equal annotations, and 0 equals 0.0: which of
-    them a table would show depends on what was imported first.
+    `typing` caches annotations by equality, and 0 equals 0.0: without this,
+    the import order would decide which of the two a table shows.
     """
     return str(int(value)) if value == int(value) else str(value)
 
 
 def _allowed_parts(hint: Any) -> str:
-    """Say what a type made of others lets through; empty for plain ones."""
+    """Describe a compound type; empty for any other type."""
     parts = [allowed(p) for p in typing.get_args(hint) if p is not NoneType]
     match typing.get_origin(hint):
         case builtins.list:
@@ -67,7 +67,7 @@
 
 
 def meanings(cls: type[Any]) -> dict[str, str]:
-    """Read what each setting means from the classes' doc comments."""
+    """Return the text of each attribute in the class docstrings."""
     found: dict[str, str] = {}
     for base in reversed(cls.__mro__):
         _, _, section = (inspect.getdoc(base) or "").partition("Attributes:\n")
@@ -80,13 +80,13 @@
 
 @dataclass(slots=True)
 class Setting:
-    """One setting as help and docs show it.
+    """Description of one setting in help and docs.
 
     Attributes:
-        name: Its name; the flag is --NAME.
-        meaning: What it does.
-        allowed: What values it takes.
-        default: The default; None when it must be given.
+        name: Name of the setting; its flag is --NAME.
+        meaning: What the setting does.
+        allowed: The allowed values, in words.
+        default: The default as text; None if the setting is required.
     """
 
     name: str
--- a/lacewingdock/helpers/digest.py
+++ b/lacewingdock/helpers/digest.py
@@ -1,13 +1,16 @@
-"""Support for digests of several parts."""
+"""Digests of several byte strings."""
 
 import hashlib
 from typing import Final
 
+# Bytes kept of a SHA-256 digest.
 DIGEST_BYTES: Final = 16
 
 
 def digest(*parts: bytes) -> str:
-    """Return a digest of parts; where one ends and the next begins counts.
+    """Return a digest of the parts, each prefixed with its length.
+
+    The prefix makes ("ab", "c") differ from ("a", "bc").
 
     Returns:
         32 hex digits.
--- a/lacewingdock/helpers/http_client.py
+++ b/lacewingdock/helpers/http_client.py
@@ -1,4 +1,4 @@
-"""Support for calling HTTP servers once, each call on its own connection."""
+"""HTTP client that opens a new connection for each call."""
 
 import io
 from collections.abc import Sequence
@@ -7,19 +7,20 @@
 
 import pycurl
 
+# Default timeout of a call, in seconds.
 TIMEOUT_S: Final = 5.0
 HTTP_OK: Final = 200
-# What a write callback returns to have the transfer ended.
+# Return value of a write callback that makes libcurl abort the transfer.
 _ABORT: Final = -1
 
 
 @dataclass(slots=True, frozen=True)
 class HttpReply:
-    """What a server answered.
+    """Response of a server.
 
     Attributes:
         status: HTTP status.
-        body: The whole body.
+        body: The complete body.
     """
 
     status: int
@@ -39,16 +40,16 @@
     """Make one call.
 
     Args:
-        url: Where to, by IP number.
-        body: What is sent; None sends no body.
-        method: GET without a body and POST with one, where it is empty.
-        headers: Lines "Name: value".
-        timeout_s: Seconds until it is given up.
-        max_bytes: Longest body that is read; None reads any.
-        fail_on_error: Whether a status from 400 on is no answer.
+        url: URL to call, with an IP number as host.
+        body: Request body; None sends no body.
+        method: HTTP method; if empty, POST with a body and GET without.
+        headers: Request headers, as lines "Name: value".
+        timeout_s: Timeout of the whole call, in seconds.
+        max_bytes: Longest response body that is read; None for no limit.
+        fail_on_error: Whether a status of 400 or above raises an error.
 
     Raises:
-        pycurl.error: There is no answer, or its body is too long.
+        pycurl.error: The call failed or the response body is too long.
     """
     received = io.BytesIO()
 
@@ -65,7 +66,8 @@
         curl.setopt(pycurl.NOPROXY, "*")
         curl.setopt(pycurl.TIMEOUT_MS, int(timeout_s * 1000))
         curl.setopt(pycurl.FAILONERROR, int(fail_on_error))
-        # Without it a long body waits for a "100 Continue" first.
+        # An empty "Expect" header: otherwise libcurl waits for "100 Continue"
+        # before it sends a long body.
         curl.setopt(pycurl.HTTPHEADER, [*headers, "Expect:"])
         if body is not None:
             curl.setopt(pycurl.POSTFIELDS, body)
@@ -80,14 +82,14 @@
 
 
 def get(url: str, timeout_s: float = TIMEOUT_S) -> bytes:
-    """Read what a URL answers.
+    """Return the body of a GET response.
 
     Args:
-        url: Where to, by IP number.
-        timeout_s: Seconds until it is given up.
+        url: URL to call, with an IP number as host.
+        timeout_s: Timeout of the whole call, in seconds.
 
     Raises:
-        OSError: There is no answer, or its status is not 200.
+        OSError: The call failed or the status is not 200.
     """
     try:
         reply = send(url, timeout_s=timeout_s)
--- a/lacewingdock/helpers/http_connection.py
+++ b/lacewingdock/helpers/http_connection.py
@@ -1,4 +1,4 @@
-"""Support for connections to an HTTP server whose far end may misbehave."""
+"""Connections of the HTTP server, robust against slow or faulty callers."""
 
 import contextlib
 import socket
@@ -14,14 +14,15 @@
 from lacewingdock.helpers.ids import new_id
 from lacewingdock.helpers.problem_response import problem_response
 
-# A socket closed with unread bytes in it resets the connection, and the reset
-# can overtake the answer: the caller sees "connection reset" and no code. So
-# what a refused caller still sends is read for a moment before the close.
+# Closing a socket with unread bytes resets the connection, and the reset can
+# overtake the response: the caller sees "connection reset" and no error code.
+# So after a rejection the rest of the request is read before the close, for at
+# most this many seconds and bytes.
 LINGER_S: Final = 1.0
 LINGER_BYTES: Final = 4 * 1024 * 1024
 _DRAIN_BYTES: Final = 65536
 
-# What the server library answers by itself, and the kind that stands for it.
+# Error kind for each status that the server library responds with by itself.
 _KINDS: Final = {
     "408": ErrorKind.SLOW_CALLER,
     "413": ErrorKind.HEADERS_TOO_LARGE,
@@ -31,29 +32,29 @@
 
 
 class TimedSocket(socket.SocketIO):
-    """Reads a socket by a deadline for the whole request.
+    """Raw reader of a socket with a deadline for the whole request.
 
-    A limit for each read alone does not end a caller that sends a byte now
-    and then; it would hold a thread for good.
+    With only a timeout per read, a caller that sends a byte now and then would
+    occupy a thread forever.
 
     Attributes:
         sock: The socket.
-        stall_s: Seconds that one read may take.
-        deadline: Monotonic time by which the request must be here.
+        stall_s: Timeout of one read, in seconds.
+        deadline: Monotonic time by which the request must be complete.
     """
 
     def __init__(self, sock: socket.socket, stall_s: float) -> None:
-        """Start without a deadline."""
+        """Wrap a socket, without a deadline at first."""
         super().__init__(sock, "r")
         self.sock = sock
         self.stall_s = stall_s
         self.deadline = float("inf")
 
     def readinto(self, buffer: Any) -> int | None:
-        """Read what comes, by the deadline.
+        """Read available bytes, waiting at most until the deadline.
 
         Raises:
-            TimeoutError: Nothing came in time.
+            TimeoutError: No bytes arrived in time.
         """
         left = self.deadline - time.monotonic()
         if left <= 0:
@@ -66,20 +67,20 @@
 
 
 class Reader(StreamReader):
-    """Buffers what a `TimedSocket` reads."""
+    """Buffered reader of a `TimedSocket`."""
 
     def __init__(self, source: TimedSocket, buffer_bytes: int) -> None:
-        """Start with an empty buffer."""
+        """Start with an empty buffer of `buffer_bytes` bytes."""
         super(StreamReader, self).__init__(source, buffer_bytes)
         self.bytes_read = 0
 
 
 class Writer:
-    """Writes straight to a socket, each write by a time limit of its own.
+    """Unbuffered writer to a socket, with a timeout for each write.
 
-    The answer's pieces are whole events; another buffer in between costs two
-    copies and a lock for each of them. `sendall` limits the whole write, so
-    a caller that takes a byte now and then does not hold the thread.
+    The response is written in complete events; a buffer would cost two copies
+    and a lock for each of them. The socket timeout covers a whole `sendall`
+    call, so a caller that reads a byte now and then cannot hold the thread.
 
     Attributes:
         sock: The socket.
@@ -89,15 +90,15 @@
     __slots__ = ("bytes_written", "sock")
 
     def __init__(self, sock: socket.socket) -> None:
-        """Take the socket."""
+        """Start with no bytes written."""
         self.sock = sock
         self.bytes_written = 0
 
     def write(self, data: bytes) -> int:
-        """Write all of it.
+        """Write all of the data.
 
         Raises:
-            OSError: The caller went away or did not take it in time.
+            OSError: The caller disconnected or did not read in time.
         """
         self.sock.sendall(data)
         self.bytes_written += len(data)
@@ -105,17 +106,17 @@
 
 
 class Request(HTTPRequest):
-    """One request; what the library refuses becomes problem details."""
+    """One request; the library's error responses become problem details."""
 
     def simple_response(self, status: str, msg: str = "") -> None:
-        """Answer what the library refuses before the application sees it."""
+        """Respond to a request that the library itself rejects."""
         kind = _KINDS.get(str(status)[:3], ErrorKind.BAD_REQUEST)
         if kind is ErrorKind.HEADERS_TOO_LARGE and self._body_too_large():
             kind = ErrorKind.BODY_TOO_LARGE
         self.refuse(LacewingdockError(kind, msg or str(status)))
 
     def refuse(self, error: LacewingdockError) -> None:
-        """Send an error and close the connection after it."""
+        """Send an error response and close the connection afterwards."""
         response = problem_response(error, new_id())
         response.headers["Connection"] = "close"
         self.close_connection = self.sent_headers = True
@@ -132,10 +133,10 @@
         return bool(limit) and length.isdigit() and int(length) > limit
 
     def send_headers(self) -> None:
-        """Send the headers, and close where the connection is unusable.
+        """Send the headers, and close the connection if it is not reusable.
 
-        The rest of a body that was refused unread would be taken for the
-        next request on the connection.
+        The unread rest of a rejected request's body would otherwise be parsed
+        as the next request on the connection.
         """
         unread = isinstance(self.rfile, ChunkedRFile) and not self.rfile.closed
         if unread or (b"Connection", b"close") in self.outheaders:
@@ -145,18 +146,18 @@
 
 
 class Connection(HTTPConnection):
-    """One connection.
+    """A caller's connection with read deadlines and a deferred handshake.
 
     Attributes:
-        drain: Whether to read on for a moment before closing.
-        shaken: Whether the TLS handshake is done.
-        taken: Whether it counts among the connections being served.
+        source: Reads the socket by the request's deadline.
+        drain: Whether to read the rest of the request before closing.
+        handshake_done: Whether the TLS handshake is complete.
     """
 
     RequestHandlerClass = Request
 
     def __init__(self, server: Any, sock: Any, makefile: Any = None) -> None:
-        """Take over an accepted socket."""
+        """Set up an accepted socket."""
         super().__init__(server, sock)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.source = TimedSocket(sock, server.timeout)
@@ -166,7 +167,7 @@
         self.handshake_done = not isinstance(sock, ssl.SSLSocket)
 
     def communicate(self) -> bool:
-        """Serve one request; returns whether the connection stays open."""
+        """Serve one request; return whether the connection stays open."""
         try:
             self.source.deadline = time.monotonic() + self.server.read_s
             self.ensure_handshake()
@@ -177,20 +178,20 @@
             self.server.active.add(-1)
 
     def ensure_handshake(self) -> None:
-        """Do the TLS handshake, in the task that serves the connection.
+        """Do the TLS handshake, in the thread that serves the connection.
 
-        In the accepting task one stalled handshake would keep every other
-        caller out.
+        In the accepting thread, one stalled handshake would block every other
+        caller.
 
         Raises:
-            OSError: The caller speaks no TLS or stalled.
+            OSError: The handshake failed or timed out.
         """
         if not self.handshake_done:
             self.socket.do_handshake()
             self.handshake_done = True
 
     def close(self) -> None:
-        """Close the connection, after what a refused caller still sends."""
+        """Close the connection, after draining a rejected request."""
         if self.drain:
             with contextlib.suppress(OSError):
                 self._drain()
--- a/lacewingdock/helpers/http_server.py
+++ b/lacewingdock/helpers/http_server.py
@@ -1,4 +1,4 @@
-"""Support for serving WSGI applications."""
+"""HTTP server for WSGI applications that rejects callers when it is full."""
 
 import logging
 from collections.abc import Callable
@@ -17,19 +17,22 @@
 from lacewingdock.helpers.tally import Tally
 from lacewingdock.helpers.tls import tls_adapter
 
+# Limit on the headers of a request, in bytes.
 MAX_HEADER_BYTES: Final = 32 * 1024
+# Length of the listen queue, in connections.
 BACKLOG: Final = 512
-# Connections that are open and idle; more would run into the limit on files.
+# Idle connections that are kept open; more would exceed the limit on files.
 MAX_IDLE: Final = 1024
-# Threads that only refuse. A refusal takes a moment unless the caller stalls.
+# Threads that only send rejections, which are short unless the caller stalls.
 REFUSERS: Final = 4
-# Refusals waiting for a thread; beyond, connections are closed unanswered.
+# Rejections that may be pending; further connections are closed without a
+# response.
 MAX_REFUSALS: Final = 256
+# Timeout of a rejection's handshake and write, in seconds.
 REFUSAL_TIMEOUT_S: Final = 0.5
 _IDLE_CHECK_S: Final = 0.5
 
-# Keys of the server's request and of the caller's socket in the WSGI
-# environment.
+# Keys in the WSGI environment of the caller's socket and the server's request.
 ENVIRON_SOCKET: Final = "lacewingdock.socket"
 ENVIRON_REQUEST: Final = "lacewingdock.request"
 
@@ -37,7 +40,7 @@
 
 
 class Gateway(Gateway_10):
-    """Shows the application its request as the server has it."""
+    """WSGI gateway that adds the request and the socket to the environment."""
 
     def get_environ(self) -> Any:
         """Return the WSGI environment of the request."""
@@ -48,16 +51,16 @@
 
 
 class Server(wsgi.Server):
-    """A server that answers at once when all its threads are taken.
+    """A server that rejects requests at once while all threads are busy.
 
-    A connection takes a thread only once it has something to read: one that
-    was merely opened costs no thread.
+    A connection gets a thread only when it has bytes to read: an idle
+    connection uses none.
 
     Attributes:
-        taken: Connections that wait for a thread or have one.
-        refusals: Connections being refused.
-        read_s: Seconds by which a whole request must be here.
-        refusers: Runs the refusals.
+        active: Number of connections that have a thread or wait for one.
+        refusals: Number of connections being rejected.
+        read_s: Time limit for reading a whole request, in seconds.
+        refusers: Threads that send the rejections.
     """
 
     ConnectionClass = Connection
@@ -65,7 +68,7 @@
     def __init__(
         self, address: tuple[str, int], app: Any, threads: int, read_s: float
     ) -> None:
-        """Take what it serves; nothing is bound yet."""
+        """Configure the server; `prepare` binds the port."""
         super().__init__(
             address,
             app,
@@ -82,13 +85,13 @@
         self.keep_alive_conn_limit = MAX_IDLE
 
     def process_conn(self, conn: Connection) -> None:
-        """Give a connection to a thread, or refuse it at once.
+        """Pass a connection to a thread, or reject it if all are busy.
 
-        In a queue behind busy threads a caller would wait as long as the
-        longest stream, and no other instance could serve it meanwhile.
+        Queued behind busy threads, a caller could wait as long as the longest
+        stream, while other instances have capacity to serve it.
         """
         if conn.last_used is None and self.can_add_keepalive_connection:
-            # Accepted just now: it waits for its first bytes without a thread.
+            # A new connection waits for its first bytes without a thread.
             self._connections.put(conn)  # type: ignore[attr-defined]
             return
         if conn.last_used is not None:
@@ -98,11 +101,11 @@
         self._refuse_later(conn)
 
     def _serve(self, conn: Connection) -> bool:
-        """Give a connection to a thread; return whether there is one."""
+        """Queue a connection for a thread; return whether one will serve it."""
         try:
             self.requests.put(conn)
         except RuntimeError as error:
-            log.error("no thread can be started", error=str(error))
+            log.error("cannot start a thread", error=str(error))
             return False
         return True
 
@@ -118,7 +121,8 @@
             conn.socket.settimeout(REFUSAL_TIMEOUT_S)
             conn.ensure_handshake()
             error = LacewingdockError(
-                ErrorKind.OVERLOADED, "every thread of this instance is taken"
+                ErrorKind.OVERLOADED,
+                "all request threads of this instance are busy",
             )
             Request(self, conn).refuse(error)
         except OSError:
@@ -128,14 +132,14 @@
             conn.close()
 
     def stop(self) -> None:
-        """Stop serving."""
+        """Stop serving and cancel pending rejections."""
         super().stop()
         self.refusers.shutdown(wait=False, cancel_futures=True)
 
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
-        """Log what the server library has to say."""
+        """Log a message of the server library."""
         name = logging.getLevelName(level)
         log.log(logbook.lookup_level(name), msg, exc_info=traceback)
 
@@ -151,16 +155,16 @@
     read_s: float = 30.0,
     tls: tuple[str, str] | None = None,
 ) -> Server:
-    """Bind a server; `serve` runs it.
+    """Create a server and bind its port; `serve` runs it.
 
     Args:
         host: IP number to listen on.
-        port: Port; 0 takes a free one, found in `bind_addr` afterwards.
+        port: Port; 0 binds a free port, given by `bind_addr` afterwards.
         app: The WSGI application.
-        threads: Requests served at once; more are refused.
+        threads: Limit on concurrent requests; further ones are rejected.
         max_body_bytes: Largest body accepted; 0 for no limit.
-        stall_s: Seconds that a caller may stall a read or write.
-        read_s: Seconds by which a whole request must have come.
+        stall_s: Timeout of one read or write, in seconds.
+        read_s: Time limit for reading a whole request, in seconds.
         tls: Files of certificate chain and private key.
 
     Raises:
--- a/lacewingdock/helpers/http_threads.py
+++ b/lacewingdock/helpers/http_threads.py
@@ -1,4 +1,4 @@
-"""Support for starting an HTTP server's threads only as they are needed."""
+"""Thread pool of the HTTP server that starts threads on demand."""
 
 from typing import Any
 
@@ -8,19 +8,18 @@
 
 
 class LazyThreadPool(ThreadPool):
-    """A pool that starts a thread when a connection would wait for one.
+    """A pool that starts a thread if a connection would have to wait for one.
 
-    Hundreds of threads that never served anyone cost an idle entry megabytes
-    of its memory budget. A thread once started stays, so a peak costs the
-    start of its threads only once.
+    Hundreds of unused threads would cost an idle entry megabytes of its memory
+    budget. Started threads stay, so a peak starts its threads only once.
 
     Attributes:
-        spare: Threads that wait for a connection, less the connections that
-            wait for a thread.
+        spare: Number of threads that wait for a connection, minus the number
+            of connections that wait for a thread.
     """
 
     def __init__(self, server: Any, max_threads: int) -> None:
-        """Start without threads.
+        """Create an empty pool.
 
         Args:
             server: The server whose connections the threads serve.
@@ -28,21 +27,22 @@
         """
         super().__init__(server, min=max_threads, max=max_threads)
         self.spare = Tally()
-        # The base class's is an attribute, which would hide a method.
+        # The base class sets `get` as an instance attribute, which would hide
+        # a method of that name.
         self.get = self._get
 
     def start(self) -> None:
-        """Start nothing: `put` starts each thread."""
+        """Start no threads; `put` starts them on demand."""
 
     def put(self, obj: Any) -> None:
-        """Queue a connection; only the accepting task calls this.
+        """Queue a connection; must be called by the accepting thread only.
 
-        Counting the threads without a connection is not enough: one that has
-        just taken its connection off the queue still looks free, and the next
-        caller would wait behind an answer that takes minutes.
+        Counting the threads that have no connection is not enough: a thread
+        that has just dequeued a connection still looks idle, and the next
+        caller would wait behind a response that takes minutes.
 
         Raises:
-            RuntimeError: No thread is free and the system gives none.
+            RuntimeError: No thread is idle and the system cannot start one.
         """
         threads = self._threads  # type: ignore[attr-defined]
         if self.spare.value <= 0 and len(threads) < self.max:
--- a/lacewingdock/helpers/ids.py
+++ b/lacewingdock/helpers/ids.py
@@ -1,11 +1,12 @@
-"""Support for ids."""
+"""Random identifiers."""
 
 import secrets
 from typing import Final
 
+# Random bytes in an id.
 ID_BYTES: Final = 8
 
 
 def new_id() -> str:
-    """Return 16 hex digits that no other id has, for all practical ends."""
+    """Return a random id of 16 hex digits; collisions are negligible."""
     return secrets.token_hex(ID_BYTES)
--- a/lacewingdock/helpers/json.py
+++ b/lacewingdock/helpers/json.py
@@ -1,4 +1,4 @@
-"""Support for decoding JSON that comes from outside the process."""
+"""Decoding of JSON from outside the process."""
 
 from typing import Any
 
@@ -9,12 +9,12 @@
     """Decode JSON and check it against a type.
 
     Args:
-        data: The text.
-        cls: What it must be.
+        data: The JSON text.
+        cls: Type that the value must match.
 
     Raises:
-        msgspec.DecodeError: It is no JSON, nested too deep or of another
-            type.
+        msgspec.DecodeError: The text is not valid JSON, is nested too deeply,
+            or does not match the type.
     """
     try:
         return msgspec.json.decode(data, type=cls)
--- a/lacewingdock/helpers/listening.py
+++ b/lacewingdock/helpers/listening.py
@@ -1,19 +1,19 @@
-"""Support for opening a port; loads nothing but the socket module."""
+"""Opening of listening TCP ports; imports only the socket module."""
 
 import socket
 from typing import Final
 
-# Connections that wait to be accepted: a burst of a second at twice the load of
-# a large deployment. A full queue drops the opening packet, which is sent again
-# only after a second.
+# Connections in the listen queue: a burst of one second at twice the load of a
+# large deployment. A full queue drops the SYN packet, which the caller sends
+# again only after a second.
 BACKLOG: Final = 512
 
 
 def open_port(address: tuple[str, int]) -> socket.socket:
-    """Bind a port and listen; connections wait until they are accepted.
+    """Bind a port and listen; connections queue until they are accepted.
 
     Raises:
-        OSError: It is taken, or no address of this instance.
+        OSError: The port is in use, or the address is not a local one.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/lacewingdock/helpers/log.py
+++ b/lacewingdock/helpers/log.py
@@ -1,4 +1,4 @@
-"""Support for logs as JSON lines."""
+"""Logging as JSON lines."""
 
 import sys
 from typing import Any, Final
@@ -33,8 +33,8 @@
 
     Args:
         level: Lowest level that is logged.
-        stream: Where they go; standard error by default.
-        **common: Fields that every line carries.
+        stream: Stream to write to; standard error by default.
+        **common: Fields added to every line.
     """
     stream = sys.stderr if stream is None else stream
     handler = logbook.StreamHandler(stream, level=_LEVELS[level])
@@ -48,5 +48,5 @@
 
 
 def get_logger(name: str) -> logbook.Logger:
-    """Return the logger of a component; keyword arguments become fields."""
+    """Return a named logger; keyword arguments of its calls become fields."""
     return logbook.Logger(name)
--- a/lacewingdock/helpers/log_stream.py
+++ b/lacewingdock/helpers/log_stream.py
@@ -1,4 +1,4 @@
-"""Support for a log stream that never blocks whoever logs."""
+"""Non-blocking log stream with a bounded buffer and a rate limit."""
 
 import contextlib
 import os
@@ -9,27 +9,29 @@
 
 import msgspec
 
-# Lines that wait for a reader. A reader that stalls for seconds under load
-# loses the lines beyond; memory stays bounded at some megabytes.
+# Lines that are buffered for a slow reader, which bounds memory to some
+# megabytes. If the reader stalls for seconds under load, further lines are
+# dropped.
 MAX_LINES: Final = 10_000
-# Lines a second that are taken in the long run, and at once. A flood of
-# refusals must not spend the processor on telling of each.
+# Token bucket of the rate limit: sustained lines per second, and lines in a
+# burst. Logging each of a flood of refused requests would take the processor
+# time that the other requests need.
 LINES_PER_S: Final = 400.0
 BURST: Final = 2000.0
-# Lines are gathered this long and written together: one write and one thread
-# switch for many.
+# Seconds for which lines are collected into one write, which saves a system
+# call and a thread switch per line.
 BATCH_DELAY_S: Final = 0.05
-# How long the end of a process waits for its last lines to be read.
+# Seconds that a process waits at exit until its last lines are written.
 DRAIN_S: Final = 0.3
 
 
 class LogStream:
-    """Takes text and writes it to a descriptor in a thread of its own.
+    """A stream whose lines a background thread writes to a file descriptor.
 
     Attributes:
-        descriptor: Where it writes to.
-        dropped: Lines dropped and not told of yet.
-        allowed: Lines that may be taken now.
+        descriptor: File descriptor to write to.
+        dropped: Number of dropped lines that no log line reports yet.
+        tokens: Lines that the rate limit allows now.
     """
 
     __slots__ = (
@@ -43,7 +45,7 @@
     )
 
     def __init__(self, descriptor: int) -> None:
-        """Start the thread."""
+        """Start the thread that writes to the descriptor."""
         self.descriptor = descriptor
         self.dropped = 0
         self.tokens = BURST
@@ -55,7 +57,7 @@
         thread.start()
 
     def write(self, text: str) -> None:
-        """Take text, or drop it where too much waits or comes."""
+        """Queue a line, or drop it above the buffer size or the rate limit."""
         with self._lock:
             now = time.monotonic()
             grown = self.tokens + (now - self._refilled_at) * LINES_PER_S
@@ -69,10 +71,10 @@
         self._ready.set()
 
     def flush(self) -> None:
-        """Do nothing: whoever logs does not wait."""
+        """Do nothing: a log call must not wait for the reader."""
 
     def drain(self, timeout_s: float) -> None:
-        """Wait until all lines are written, for a while."""
+        """Wait until all queued lines are written, or until the timeout."""
         end = time.monotonic() + timeout_s
         while self._lines and time.monotonic() < end:
             time.sleep(BATCH_DELAY_S / 5)
@@ -87,7 +89,7 @@
                 dropped, self.dropped = self.dropped, 0
             if dropped:
                 lines.append(_dropped_line(dropped))
-            # The reader may be gone; then there is nobody to tell.
+            # The reader may have closed the pipe; the error cannot be logged.
             with contextlib.suppress(OSError):
                 _write_all(self.descriptor, "".join(lines).encode())
             with self._lock:
--- a/lacewingdock/helpers/lru.py
+++ b/lacewingdock/helpers/lru.py
@@ -1,4 +1,4 @@
-"""Support for remembering what was met last, up to a number of things."""
+"""Mappings that are bounded by evicting the least recently inserted key."""
 
 from collections.abc import MutableMapping
 from typing import TypeVar
@@ -10,13 +10,13 @@
 def insert_lru(
     entries: MutableMapping[K, V], key: K, value: V, max_entries: int
 ) -> None:
-    """Put a value last in a mapping, and drop the first beyond a number.
+    """Insert a value as the newest entry, and evict the oldest ones.
 
     Args:
-        entries: The mapping, in order of use.
-        key: The key.
+        entries: The mapping, oldest insertion first.
+        key: Key to insert; an existing entry becomes the newest.
         value: The value.
-        max_entries: Entries kept at most.
+        max_entries: Number of entries above which the oldest are evicted.
     """
     entries.pop(key, None)
     entries[key] = value
--- a/lacewingdock/helpers/problem.py
+++ b/lacewingdock/helpers/problem.py
@@ -1,4 +1,4 @@
-"""Support for error answers as problem details (RFC 9457)."""
+"""Error responses as problem details (RFC 9457)."""
 
 import msgspec
 
@@ -8,9 +8,9 @@
 
 
 def problem_body(error: LacewingdockError, request_id: str) -> bytes:
-    """Return the JSON of a problem.
+    """Return an error as the JSON of problem details.
 
-    It also carries the `error` object that chat-completion clients expect.
+    The JSON also has the `error` object that chat completion clients expect.
     """
     answer = error.answer
     return msgspec.json.encode(
--- a/lacewingdock/helpers/problem_response.py
+++ b/lacewingdock/helpers/problem_response.py
@@ -1,4 +1,4 @@
-"""Support for answering a problem through werkzeug."""
+"""Problem details as werkzeug responses."""
 
 import math
 
@@ -10,7 +10,7 @@
 
 
 def problem_response(error: LacewingdockError, request_id: str) -> Response:
-    """Return the HTTP answer of an error."""
+    """Return the HTTP response for an error, with its headers."""
     response = Response(
         problem_body(error, request_id),
         status=error.answer.status,
--- a/lacewingdock/helpers/process.py
+++ b/lacewingdock/helpers/process.py
@@ -1,4 +1,4 @@
-"""Support for the process as a whole."""
+"""Termination of the process."""
 
 import logging
 import os
@@ -6,7 +6,7 @@
 
 
 def exit_now(status: int) -> None:
-    """End the process without waiting for tasks blocked in a read."""
+    """Exit without waiting for threads that are blocked in a read."""
     logging.shutdown()
     sys.stdout.flush()
     sys.stderr.flush()
--- a/lacewingdock/helpers/reference.py
+++ b/lacewingdock/helpers/reference.py
@@ -1,6 +1,7 @@
-"""Support for the tables of the docs that come from the code.
+"""Generates the tables in the docs that are derived from the code.
 
-`python -m lacewingdock.helpers.reference` writes them anew; a test compares.
+`python -m lacewingdock.helpers.reference` rewrites them in place; a test
+compares the pages with the code.
 """
 
 import re
@@ -29,16 +30,17 @@
 from lacewingdock.world.world import CLASSES
 
 DOCS: Final = Path("docs")
-# What stands between a table's two marks is generated.
+# Marker around a generated table; the fields are begin or end, and its name.
 MARK: Final = "<!-- {0} {1} -->"
+# Classes of nested fields, which have tables of their own.
 NESTED: Final = (Step, Objective, Operation)
 
 
 def tables() -> dict[str, dict[str, str]]:
-    """Return the generated tables by page and name."""
+    """Return the generated tables, by page and by table name."""
     settings = {"daemons": _settings(DaemonSettings)}
     shared = {setting.name for setting in describe(DaemonSettings)}
-    # ClientSettings has nothing but the platform's URL.
+    # ClientSettings only has the URL of the platform.
     others = [cls for cls in OTHER_SETTINGS if cls is not ClientSettings]
     for cls in (EntrySettings, SidecarSettings, *others):
         name = cls.__name__.removesuffix("Settings").lower()
@@ -54,10 +56,10 @@
 
 
 def fill(page: str, contents: dict[str, str]) -> str:
-    """Put tables between their marks in a page.
+    """Replace the tables between their markers in a page.
 
     Raises:
-        ValueError: The page lacks a table's marks.
+        ValueError: The page lacks the markers of a table.
     """
     for name, table in contents.items():
         begin, end = MARK.format("begin", name), MARK.format("end", name)
@@ -137,7 +139,7 @@
 
 
 def main() -> None:
-    """Write every generated table into its page; new ones get a heading."""
+    """Write the tables into their pages; a new table is appended."""
     for name, contents in tables().items():
         path = DOCS / name
         page = path.read_text("utf-8")
--- a/lacewingdock/helpers/server_connection.py
+++ b/lacewingdock/helpers/server_connection.py
@@ -1,4 +1,4 @@
-"""Support for the server's end of a connection: requests in, answers out."""
+"""Server side of HTTP/1.1 connections: reads requests, sends responses."""
 
 import contextlib
 import select
@@ -16,15 +16,16 @@
 from lacewingdock.world.call import Headers
 from lacewingdock.world.route import CallerLimits
 
-# Read at once at most: a link's usual window, so that one read takes what came.
+# Bytes per read: a usual receive window, so that one read empties the socket.
 READ_BYTES: Final = 64 * 1024
-# A caller that takes nothing for this long is given up; its answer would
-# hold memory and an upstream's place.
+# Timeout of one write in seconds. The response to a caller that reads nothing
+# would hold memory and a slot of an upstream.
 WRITE_S: Final = 10.0
-# What a refused caller still sends is read this long, since closing with
-# unread bytes resets the connection and takes the answer along.
+# Seconds for which the rest of a rejected request is read before the close.
+# Closing with unread bytes resets the connection and can discard the response.
 LINGER_S: Final = 0.5
-# As for upstreams: a caller behind a cut acknowledges nothing.
+# TCP_USER_TIMEOUT in milliseconds, as for upstreams: a caller behind a network
+# partition acknowledges nothing.
 USER_TIMEOUT_MS: Final = 10_000
 
 _ERROR_KINDS: Final = {
@@ -34,19 +35,19 @@
 
 
 class CallerDisconnected(Exception):
-    """The caller closed its connection, or it broke."""
+    """The caller closed its connection, or the connection failed."""
 
 
 @dataclass(slots=True)
 class ServerRequest:
-    """A whole request.
+    """A complete request.
 
     Attributes:
         method: HTTP method.
         target: Path and query, as sent.
         headers: Headers with names in lower case.
-        raw: The same headers, in the same order, as they came.
-        body: The body.
+        raw: The same headers, in the same order, with names as received.
+        body: The complete body.
     """
 
     method: bytes
@@ -57,14 +58,14 @@
 
 
 class ServerConnection:
-    """A connection that one task serves.
+    """A connection that one thread serves.
 
     Attributes:
         sock: The socket.
-        parser: State of the protocol.
-        keep: Whether another request may follow.
-        started: Whether the head of an answer went out.
-        read_at: Monotonic time at which the last request was whole.
+        parser: State of the HTTP protocol.
+        keep_alive: Whether another request may follow.
+        started: Whether the head of a response was sent.
+        received_at: Monotonic time at which the last request was complete.
     """
 
     __slots__ = (
@@ -77,7 +78,7 @@
     )
 
     def __init__(self, sock: socket.socket) -> None:
-        """Take an accepted socket."""
+        """Set the TCP options of an accepted socket."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
@@ -91,12 +92,12 @@
         self._poll.register(sock, select.POLLIN)
 
     def read_request(self, limits: CallerLimits) -> ServerRequest | None:
-        """Read a request; None when the caller sent none.
+        """Read a request; None if the caller sent none.
 
         Raises:
             LacewingdockError: BAD_REQUEST, HEADERS_TOO_LARGE, BODY_TOO_LARGE
                 or SLOW_CALLER.
-            CallerDisconnected: The connection broke.
+            CallerDisconnected: The connection failed.
         """
         self._next_cycle(limits)
         until = time.monotonic() + limits.idle_s
@@ -109,7 +110,7 @@
             event = self._event_or_none()
         if not isinstance(event, h11.Request):
             return None
-        # Once a request has begun, no later than this must it be whole.
+        # The body must be complete within the read limit after the head.
         until = time.monotonic() + limits.read_s
         self.started = False
         self._check_head(event, limits.header_bytes)
@@ -125,12 +126,12 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may be read."""
+        """Whether another request may be read from this connection."""
         return self.keep_alive and self.parser.our_state is h11.DONE
 
     @property
     def complete(self) -> bool:
-        """Whether the answer that was begun went out whole."""
+        """Whether the response was sent completely."""
         return self.parser.our_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
     def left(self) -> bool:
@@ -138,10 +139,10 @@
         return bool(self._poll.poll(0)) and peer_closed(self.sock)
 
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose length is not known.
+        """Send the head of a response whose length is not known yet.
 
         Raises:
-            CallerDisconnected: The connection broke.
+            CallerDisconnected: The connection failed.
         """
         self.started = True
         if not self.keep_alive:
@@ -149,10 +150,10 @@
         self._send(h11.Response(status_code=status, headers=headers))
 
     def send(self, data: bytes) -> None:
-        """Send a piece of the body.
+        """Send a part of the body.
 
         Raises:
-            CallerDisconnected: The connection broke.
+            CallerDisconnected: The connection failed.
         """
         self._send(h11.Data(data=data))
 
@@ -160,15 +161,15 @@
         """End the body.
 
         Raises:
-            CallerDisconnected: The connection broke.
+            CallerDisconnected: The connection failed.
         """
         self._send(h11.EndOfMessage())
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer.
+        """Send a complete response.
 
         Raises:
-            CallerDisconnected: The connection broke.
+            CallerDisconnected: The connection failed.
         """
         self.started = True
         headers = [*headers, (b"Content-Length", b"%d" % len(body))]
@@ -178,22 +179,22 @@
         self._send(head, h11.Data(data=body), h11.EndOfMessage())
 
     def close(self) -> None:
-        """Close it after what a refused caller still sends."""
+        """Close the connection, after draining the rest of a request."""
         with contextlib.suppress(OSError):
             if self.parser.their_state in (h11.SEND_BODY, h11.ERROR):
                 self._drain()
         self.abort()
 
     def abort(self) -> None:
-        """Close it at once: an answer on the way stays incomplete."""
+        """Close the connection at once; a response stays incomplete."""
         with contextlib.suppress(OSError):
             self.sock.close()
 
     def _next_cycle(self, limits: CallerLimits) -> None:
         if self.parser.our_state is h11.DONE:
             self.parser.start_next_cycle()
-        # The limit is a setting that may change while the connection lives,
-        # and the library takes it only at its creation.
+        # The limit is a setting that may change while the connection is open,
+        # but h11 accepts it only when the parser is created.
         if self.parser.our_state is h11.IDLE:
             rest = self.parser.trailing_data[0]
             self.parser = h11.Connection(
@@ -214,11 +215,11 @@
         return None if event is h11.NEED_DATA else event  # type: ignore[return-value]
 
     def _check_head(self, request: h11.Request, max_bytes: int) -> None:
-        """Refuse a head that is too long, or gives its length in two ways.
+        """Reject a head that is too long, or has two body lengths.
 
-        The library bounds only heads that come in several reads. Of two
-        lengths, two readers see different ends: what one takes for the body,
-        the other takes for the next request, which nobody sent.
+        h11 limits only heads that arrive in several reads. With both lengths,
+        two servers can disagree on where the body ends: one parses a part of
+        the body as the next request (request smuggling).
 
         Raises:
             LacewingdockError: HEADERS_TOO_LARGE or BAD_REQUEST.
@@ -228,14 +229,14 @@
         if size > max_bytes:
             self.keep_alive = False
             raise LacewingdockError(
-                ErrorKind.HEADERS_TOO_LARGE, f"more than {max_bytes} bytes"
+                ErrorKind.HEADERS_TOO_LARGE, f"headers exceed {max_bytes} bytes"
             )
         names = {name for name, _ in request.headers}
         if names >= {b"transfer-encoding", b"content-length"}:
             self.keep_alive = False
             raise LacewingdockError(
                 ErrorKind.BAD_REQUEST,
-                "both Transfer-Encoding and Content-Length",
+                "request has both Transfer-Encoding and Content-Length",
             )
 
     def _read_body(self, until: float, max_bytes: int) -> bytes:
@@ -249,7 +250,8 @@
                 if size > max_bytes:
                     self.keep_alive = False
                     raise LacewingdockError(
-                        ErrorKind.BODY_TOO_LARGE, f"more than {max_bytes} bytes"
+                        ErrorKind.BODY_TOO_LARGE,
+                        f"body exceeds {max_bytes} bytes",
                     )
             elif isinstance(event, h11.EndOfMessage):
                 return b"".join(parts)
@@ -265,22 +267,24 @@
         if not self._receive(until):
             self.keep_alive = False
             raise LacewingdockError(
-                ErrorKind.SLOW_CALLER, "the body did not come in time"
+                ErrorKind.SLOW_CALLER,
+                "timed out while reading the request body",
             )
 
     def _receive(self, until: float) -> bool:
-        """Read what comes; return whether something came in time.
+        """Read available bytes; return whether any arrived in time.
 
         Raises:
-            LacewingdockError: SLOW_CALLER, in the middle of a head.
-            CallerDisconnected: The connection broke.
+            LacewingdockError: SLOW_CALLER, if part of a head was received.
+            CallerDisconnected: The connection failed.
         """
         left_s = until - time.monotonic()
         if left_s <= 0 or not self._poll.poll(int(left_s * 1000) + 1):
             if self.parser.trailing_data[0]:
                 self.keep_alive = False
                 raise LacewingdockError(
-                    ErrorKind.SLOW_CALLER, "the head did not come in time"
+                    ErrorKind.SLOW_CALLER,
+                    "timed out while reading the request headers",
                 )
             return False
         try:
@@ -318,7 +322,7 @@
     limits: CallerLimits,
     answer: Callable[[ServerConnection, ServerRequest], None],
 ) -> None:
-    """Answer the requests of a connection until one side ends it.
+    """Handle the requests of a connection until either side closes it.
 
     Raises:
         LacewingdockError, CallerDisconnected: As for
--- a/lacewingdock/helpers/sockets.py
+++ b/lacewingdock/helpers/sockets.py
@@ -1,4 +1,4 @@
-"""Support for sockets: listening, and what the other end did."""
+"""Listening sockets, and detection of closed connections."""
 
 import contextlib
 import errno
@@ -13,15 +13,15 @@
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.tally import Tally
 
-# A short pause where no descriptor is left: the connection stays in the
-# queue, and without it the loop would spin.
+# Pause in seconds after a failed accept. Without a free file descriptor the
+# connection stays in the listen queue, and the loop would not block.
 ACCEPT_RETRY_S: Final = 0.02
 
 log = get_logger("sockets")
 
 
 def peer_closed(caller: socket.socket) -> bool:
-    """Whether the other end closed its connection."""
+    """Whether the peer closed the connection, or the connection failed."""
     try:
         return not caller.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -31,18 +31,18 @@
 
 
 class Listener:
-    """Accepts connections and gives each a task of its own.
+    """Accepts connections and serves each in a thread of its own.
 
     Attributes:
-        name: What it serves, for the log.
+        name: Name of the port in the log.
         address: IP number and port.
         serve: Serves one connection and closes it.
-        most: Connections served at once; more are closed unread, so that
-            whoever sends knows that nothing was done.
-        open: Connections being served.
-        refused: Connections closed unread.
+        max_connections: Limit on concurrent connections; further ones are
+            closed unread, so that the sender knows that nothing was executed.
+        open: Number of connections being served.
+        refused: Number of connections closed unread.
         sock: The listening socket.
-        closed: Whether it stopped accepting.
+        closed: Whether `close` was called.
     """
 
     __slots__ = (
@@ -65,7 +65,7 @@
         max_connections: int,
         sock: socket.socket | None = None,
     ) -> None:
-        """Bind and listen, unless the port is open already.
+        """Bind the port and listen, unless `sock` is listening already.
 
         Raises:
             LacewingdockError: PORT_TAKEN or BAD_SETTING.
@@ -84,7 +84,7 @@
         self._executor = ThreadPoolExecutor(max_connections, name)
 
     def run(self, stopping: threading.Event) -> None:
-        """Accept until the daemon stops."""
+        """Accept connections until the daemon stops."""
         while not stopping.is_set():
             try:
                 sock, _ = self.sock.accept()
@@ -102,10 +102,10 @@
             self._executor.submit(self._serve, sock)
 
     def close(self) -> None:
-        """Stop accepting, and wake the task that does."""
+        """Stop accepting, and wake the thread that is in `accept`."""
         self.closed = True
         with contextlib.suppress(OSError):
-            # Closing alone leaves the port open while a task is in `accept`.
+            # `close` alone leaves the port open while a thread is in `accept`.
             self.sock.shutdown(socket.SHUT_RDWR)
         with contextlib.suppress(OSError):
             self.sock.close()
@@ -114,7 +114,7 @@
         try:
             self.serve(sock)
         except Exception:
-            log.exception("connection task failed", name=self.name)
+            log.exception("connection handler failed", name=self.name)
         finally:
             self.open.add(-1)
             with contextlib.suppress(OSError):
@@ -122,8 +122,8 @@
 
 
 def listen_error(address: str, error: OSError) -> LacewingdockError:
-    """Return the coded error of a port that can't be listened on."""
-    # cheroot gives an error of its own, without a number, for a taken port.
+    """Return the error for a port that cannot be opened."""
+    # For a port in use, cheroot raises an error of its own without an errno.
     taken = error.errno in (errno.EADDRINUSE, None)
     return LacewingdockError(
         ErrorKind.PORT_TAKEN if taken else ErrorKind.BAD_SETTING,
--- a/lacewingdock/helpers/source_tables.py
+++ b/lacewingdock/helpers/source_tables.py
@@ -1,11 +1,11 @@
-"""Support for tables of the docs that are read from a router's source."""
+"""Tables for the docs, extracted from the source of the router."""
 
 import ast
 from collections.abc import Sequence
 from pathlib import Path
 from typing import Final
 
-# Folders of components that a router is made of.
+# Component folders of the router.
 ROUTER_COMPONENTS: Final = (
     "gateway",
     "inspection",
@@ -16,7 +16,7 @@
     "suspects",
     "upstreams",
 )
-# Single modules that belong to it besides.
+# Further modules of the router, outside of these folders.
 ROUTER_MODULES: Final = (
     "components/admission/fleet_budget.py",
     "components/host_watch.py",
@@ -35,7 +35,7 @@
 def markdown_table(
     heads: tuple[str, ...], rows: Sequence[tuple[str, ...]]
 ) -> str:
-    """Return a table; what would end a cell is escaped."""
+    """Return a Markdown table, with the pipes in cells escaped."""
     lines = [heads, tuple("---" for _ in heads), *rows]
     return "\n".join(
         "| " + " | ".join(cell.replace("|", "\\|") for cell in line) + " |"
@@ -44,7 +44,7 @@
 
 
 def log_table() -> str:
-    """Return every line that a router logs."""
+    """Return a table of the log messages of a router."""
     rows: set[tuple[str, ...]] = set()
     for path in _sources():
         tree = ast.parse(path.read_text("utf-8"))
@@ -58,7 +58,7 @@
 
 
 def constant_table() -> str:
-    """Return every number that a router's behaviour rests on."""
+    """Return a table of the numeric constants of a router."""
     rows = [
         (f"`{path.relative_to(_ROOT)}`", *row)
         for path in _sources()
@@ -77,9 +77,9 @@
 
 
 def _constants(source: str) -> list[tuple[str, str, str]]:
-    """Return name, value and comment of a module's constants of numbers.
+    """Return name, value and comment of a module's numeric constants.
 
-    Constants that follow each other without a comment between share one.
+    Consecutive constants share the comment above the first of them.
     """
     lines = source.splitlines()
     found: list[tuple[str, str, str]] = []
@@ -104,7 +104,7 @@
 
 
 def _is_number(text: str) -> bool:
-    """Whether an expression has nothing but numbers and their operators."""
+    """Whether an expression consists of numbers and operators only."""
     return all(
         isinstance(
             node,
@@ -140,7 +140,7 @@
 
 
 def _log_row(node: ast.Call) -> tuple[str, str, str] | None:
-    """Return message, level and fields of a call that logs; None of others."""
+    """Return message, level and fields of a log call; None for other calls."""
     name, _, level = ast.unparse(node.func).rpartition(".")
     if name != "log" or not node.args:
         return None
--- a/lacewingdock/helpers/tally.py
+++ b/lacewingdock/helpers/tally.py
@@ -1,16 +1,17 @@
-"""Support for counting from several tasks."""
+"""Thread-safe counters."""
 
 import threading
 
 
 class Tally:
-    """A number that several tasks raise and lower.
+    """A counter that several threads increment and decrement.
 
-    `x += 1` on an attribute is a read and a write; two tasks at once can lose
-    one of them. A lost decrement would leave a link looking busy for good.
+    `x += 1` on an attribute is a read and a write, so an update can be lost if
+    two threads do it at once. A lost decrement would make a link look busy
+    forever.
 
     Attributes:
-        value: The number now.
+        value: Current count.
     """
 
     __slots__ = ("_lock", "value")
@@ -21,7 +22,7 @@
         self._lock = threading.Lock()
 
     def add(self, amount: int) -> int:
-        """Change the number and return it."""
+        """Add an amount, which may be negative, and return the new count."""
         with self._lock:
             self.value += amount
             return self.value
--- a/lacewingdock/helpers/text_table.py
+++ b/lacewingdock/helpers/text_table.py
@@ -1,15 +1,16 @@
-"""Support for tables on terminals."""
+"""Text tables for terminals."""
 
 from collections.abc import Sequence
 from typing import Any, Final
 
+# Characters in a cell, above which the text is truncated.
 MAX_CELL_CHARS: Final = 60
 
 
 def text_table(
     columns: Sequence[str], rows: Sequence[Sequence[Any]]
 ) -> list[str]:
-    """Return a table's lines, its columns padded to equal width."""
+    """Return the lines of a table, with each column padded to its width."""
     cells = [list(columns), *([as_cell(one) for one in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     return [
@@ -21,7 +22,7 @@
 
 
 def as_cell(value: Any) -> str:
-    """Return a value as people read it, cut where it is long."""
+    """Format a value for display, truncated to `MAX_CELL_CHARS`."""
     match value:
         case None:
             return "-"
--- a/lacewingdock/helpers/tls.py
+++ b/lacewingdock/helpers/tls.py
@@ -1,4 +1,4 @@
-"""Support for TLS on a server's port."""
+"""TLS for server ports, with certificate reload."""
 
 import os
 import socket
@@ -14,7 +14,7 @@
 
 
 class TlsAdapter(BuiltinSSLAdapter):
-    """Wraps accepted sockets; the serving task shakes hands."""
+    """Wraps accepted sockets; the serving thread does the handshake."""
 
     def wrap(self, sock: socket.socket) -> tuple[ssl.SSLSocket, dict[str, Any]]:
         """Return the wrapped socket and its WSGI variables."""
@@ -25,19 +25,19 @@
 
 
 class CertificateReloader:
-    """Takes a renewed certificate into use without a restart.
+    """Applies a renewed certificate without a restart.
 
     Attributes:
         adapter: Wraps new connections.
         cert: PEM file of the certificate chain.
         key: PEM file of the private key.
-        stamp: The files' change stamps when they were read.
+        stamp: Modification times and sizes of the files when last loaded.
     """
 
     __slots__ = ("adapter", "cert", "key", "stamp")
 
     def __init__(self, adapter: TlsAdapter, cert: str, key: str) -> None:
-        """Take the adapter that the server serves with."""
+        """Build a reloader for an adapter that was built from these files."""
         self.adapter = adapter
         self.cert = cert
         self.key = key
@@ -48,11 +48,12 @@
         return tuple(n for s in stats for n in (s.st_mtime_ns, s.st_size))
 
     def reload(self) -> None:
-        """Read the files if they changed; open connections stay as they are.
+        """Load the files if they changed; open connections are unaffected.
 
-        A renewal writes two files, and a round can fall between them. Loaded
-        into the context in use, a certificate without its key would refuse
-        every new caller; so a pair is tried in a context of its own first.
+        A renewal writes two files, and a reload can happen between the writes.
+        A certificate without the matching key in the context in use would make
+        every new handshake fail, so the pair is loaded into a new context
+        first.
         """
         try:
             stamp = self._stamp()
@@ -61,7 +62,7 @@
             context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
             context.load_cert_chain(self.cert, self.key)
         except OSError as error:
-            log.warning("certificate not taken", error=str(error))
+            log.warning("certificate not reloaded", error=str(error))
             return
         self.adapter.context = context
         self.stamp = stamp
@@ -69,14 +70,15 @@
 
 
 def tls_adapter(cert: str, key: str) -> TlsAdapter:
-    """Build the adapter of a server.
+    """Create a server's TLS adapter.
 
     Args:
         cert: PEM file of the certificate chain.
         key: PEM file of the private key.
 
     Raises:
-        LacewingdockError: BAD_SETTING when the files are no pair.
+        LacewingdockError: BAD_SETTING, if the files cannot be read or are not
+            a matching pair.
     """
     try:
         return TlsAdapter(cert, key)
--- a/lacewingdock/helpers/toml_file.py
+++ b/lacewingdock/helpers/toml_file.py
@@ -1,4 +1,4 @@
-"""Support for TOML files that are checked as they are read."""
+"""Parsing and validation of TOML files."""
 
 import tomllib
 from typing import Any, TypeVar
@@ -11,14 +11,14 @@
 
 
 def parse_toml(text: str, path: str) -> dict[str, Any]:
-    """Return what a file's text holds.
+    """Parse the text of a TOML file.
 
     Args:
-        text: The text.
-        path: Where the file lies, for errors.
+        text: Text of the file.
+        path: Path of the file, for errors.
 
     Raises:
-        LacewingdockError: BAD_SETTING.
+        LacewingdockError: BAD_SETTING, if the text is not valid TOML.
     """
     try:
         return tomllib.loads(text)
@@ -29,7 +29,7 @@
 
 
 def convert_toml(found: dict[str, Any], cls: type[F], path: str) -> F:
-    """Check what a file holds against a class.
+    """Convert a parsed file to a class, and validate its values.
 
     Raises:
         LacewingdockError: BAD_SETTING, naming key and value.
@@ -43,7 +43,7 @@
 
 
 def _value_at(found: dict[str, Any], error: Exception) -> str:
-    """Return the value that an error's path names, as text."""
+    """Return the invalid value at the error's path, as text for the error."""
     _, _, path = str(error).rpartition("`$.")
     value: Any = found
     for key in path.rstrip("`").split("."):
--- a/lacewingdock/helpers/unknown_names.py
+++ b/lacewingdock/helpers/unknown_names.py
@@ -1,4 +1,4 @@
-"""Support for noticing names that others use and that nothing here reads."""
+"""Detection of unknown header and field names in received messages."""
 
 import threading
 from collections.abc import Iterable
@@ -6,40 +6,41 @@
 
 from lacewingdock.helpers.log import get_logger
 
-# Names that are counted: whoever sends ever new ones must not fill the memory.
+# Distinct names that are counted, which bounds memory if a sender keeps sending
+# new ones.
 MAX_NAMES: Final = 64
-# Longest name that is told.
+# Characters of a name that are counted and logged; the rest is cut off.
 MAX_NAME_CHARS: Final = 64
-# What the names beyond those are counted as.
+# Name under which all further names are counted.
 OTHERS: Final = "others"
 
 log = get_logger("unknown_names")
 
 
 class UnknownNames:
-    """Counts names that nothing here reads; safe to use from any task.
+    """Counts names that this process does not read; thread-safe.
 
-    A platform that gives its upstreams, its store or its operators a new word
-    would else go unnoticed.
+    Without it, a new header or field that the platform, its store or an
+    upstream introduces would go unnoticed.
 
     Attributes:
-        where: Where they stand, for the log.
+        where: Kind of message that the names occur in, for the log.
     """
 
     __slots__ = ("_counts", "_lock", "where")
 
     def __init__(self, where: str) -> None:
-        """Start without any."""
+        """Start with no names counted."""
         self.where = where
         self._counts: dict[str, int] = {}
         self._lock = threading.Lock()
 
     def count_names(self, source: str, names: Iterable[str]) -> None:
-        """Count names; the log tells of each once.
+        """Count names, and log each name the first time.
 
         Args:
-            source: Who used them.
-            names: The names.
+            source: Sender of the message.
+            names: The unknown names in it.
         """
         for name in names:
             if self._is_new(name[:MAX_NAME_CHARS]):
@@ -51,7 +52,7 @@
                 )
 
     def counts(self) -> dict[str, int]:
-        """Return how often each name was used."""
+        """Return the number of uses of each name."""
         with self._lock:
             return dict(self._counts)
 
