--- a/lacewingdock/helpers/unknown_names.py
+++ b/lacewingdock/helpers/unknown_names.py
@@ -20,8 +20,8 @@
 class UnknownNames:
     """Counts names that this process does not read; thread-safe.
 
-    Without it, a new header or field that the platform, its store or an
-    upstream introduces would go unnoticed.
+    Otherwise a header, field or value that the platform newly introduces for
+    its upstreams, its store or its operators would go unnoticed.
 
     Attributes:
         where: Kind of message that the names occur in, for the log.
--- a/tests/components/admission/__init__.py
+++ b/tests/components/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the admission."""
+"""Tests of admission control."""
--- a/tests/components/admission/test_retry_budget.py
+++ b/tests/components/admission/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Tests for retries as a share of the requests."""
+"""Tests of the retry budget."""
 
 import contextlib
 import random
@@ -40,15 +40,15 @@
         assert retries <= burst + share * requests + 1e-6
 
 
-class Refusing:
-    """Upstreams that refuse everything, and what was sent to them."""
+class RejectingUpstreams:
+    """Upstreams that reject every attempt, and count the attempts."""
 
     def __init__(self, kind):
         self.kind = kind
         self.sent = 0
 
     def ask(self, upstream, attempt):
-        """Refuse an attempt."""
+        """Reject an attempt."""
         self.sent += 1
         raise LacewingdockError(self.kind, "refused", RAN_NO)
 
@@ -62,25 +62,25 @@
     ],
 )
 def test_full_pool_is_not_flooded_with_retries(kind, most):
-    # Symptom: a pool stays full long after the callers' load went down.
-    # Sequence: it runs out; each refused request is tried at two more
-    # upstreams, which are as full.
-    # Cause: tries were bounded for each request and not for all together.
-    # A stop is no sign of load: what it refuses goes elsewhere every time.
+    # Guards against a retry storm: a pool stays overloaded long after the
+    # callers' load has dropped, because each rejected request is retried at two
+    # more upstreams, which are overloaded too. Happens if attempts are limited
+    # per request only. An upstream that is leaving is no sign of overload, so
+    # its rejections are always retried elsewhere.
     upstreams = iter(range(10**6))
     quarantine = SimpleNamespace(
         choose=lambda *_: SimpleNamespace(name=str(next(upstreams)), link=None),
         sending=lambda *_: contextlib.nullcontext(),
         verdict=lambda _: Verdict.CLEAR,
     )
-    refusing = Refusing(kind)
+    rejecting = RejectingUpstreams(kind)
     members = SimpleNamespace(placeable=lambda _: [], configuration=None)
-    relay = Relay(refusing, members, quarantine, random.Random(1))
+    relay = Relay(rejecting, members, quarantine, random.Random(1))
     attempt = Attempt("a", "r", "retail", "drafter-1", "POST", "/", b"")
     for _ in range(REQUESTS):
         with pytest.raises(LacewingdockError) as caught:
             relay.start(attempt)
         assert (caught.value.kind, caught.value.ran) == (kind, RAN_NO)
         assert caught.value.retry_after_s is not None
-    assert refusing.sent > REQUESTS * (1 + RETRY_SHARE)
-    assert refusing.sent <= most
+    assert rejecting.sent > REQUESTS * (1 + RETRY_SHARE)
+    assert rejecting.sent <= most
--- a/tests/components/admission/test_slots.py
+++ b/tests/components/admission/test_slots.py
@@ -1,4 +1,4 @@
-"""Tests for slots held alone."""
+"""Tests of requests that run alone, and of leaving the queue."""
 
 import threading
 import time
@@ -8,98 +8,102 @@
 from lacewingdock.components.admission.slots import Slots
 from lacewingdock.exceptions import LacewingdockError
 
-FAR = 30.0
+MAX_WAIT_S = 30.0
 
 
 class Holder:
-    """A task that holds a slot until told to let go."""
+    """A thread that holds a slot until `end` is called."""
 
-    def __init__(self, slots, *, alone=False, wait_s=FAR):
+    def __init__(self, slots, *, alone=False, wait_s=MAX_WAIT_S):
         self.slots = slots
         self.alone = alone
         self.deadline = time.monotonic() + wait_s
-        self.has = threading.Event()
-        self.let_go = threading.Event()
+        self.acquired = threading.Event()
+        self.released = threading.Event()
         self.error = None
         self.thread = threading.Thread(target=self.run)
         self.thread.start()
 
     def run(self):
-        """Take the slot and hold it."""
+        """Acquire a slot and hold it."""
         try:
             with self.slots.hold(1, self.deadline, self.alone):
-                self.has.set()
-                self.let_go.wait(FAR)
+                self.acquired.set()
+                self.released.wait(MAX_WAIT_S)
         except LacewingdockError as error:
             self.error = error
 
     def end(self):
-        """Let the slot go."""
-        self.let_go.set()
-        self.thread.join(FAR)
+        """Release the slot."""
+        self.released.set()
+        self.thread.join(MAX_WAIT_S)
 
 
-def queued(slots, count):
-    end = time.monotonic() + FAR
+def wait_until_queued(slots, count):
+    end = time.monotonic() + MAX_WAIT_S
     while slots.queued != count:
         assert time.monotonic() < end
         time.sleep(0.001)
 
 
-def test_alone_waits_for_all_and_lets_nobody_in():
+def test_request_alone_waits_for_others_and_blocks_later_ones():
     slots = Slots(4, 4)
     first = Holder(slots)
-    assert first.has.wait(FAR)
-    lone = Holder(slots, alone=True)
-    queued(slots, 1)
+    assert first.acquired.wait(MAX_WAIT_S)
+    exclusive = Holder(slots, alone=True)
+    wait_until_queued(slots, 1)
     later = Holder(slots)
-    queued(slots, 2)
-    assert not lone.has.is_set()
+    wait_until_queued(slots, 2)
+    assert not exclusive.acquired.is_set()
     assert slots.occupied == slots.capacity
     first.end()
-    assert lone.has.wait(FAR)
-    assert not later.has.is_set()
+    assert exclusive.acquired.wait(MAX_WAIT_S)
+    assert not later.acquired.is_set()
     assert (slots.running, slots.alone) == (1, True)
-    lone.end()
-    assert later.has.wait(FAR)
+    exclusive.end()
+    assert later.acquired.wait(MAX_WAIT_S)
     later.end()
-    assert (slots.running, slots.queued, slots.alone) == (0, 0, False)
+    assert (slots.running, slots.queued, slots.alone) == (
+        0,
+        0,
+        False,
+    )
 
 
-def test_one_that_gives_up_being_alone_lets_the_others_in():
-    """A suspect's deadline passes while it waits for the upstream to empty.
+def test_expired_request_alone_unblocks_the_queue():
+    """Guards against an upstream that never accepts a request again.
 
-    Symptom: the upstream takes no more work for good.
-    Cause: the others wait for a suspect that is gone.
+    Happens if the deadline of a request that must run alone passes while it
+    waits for the upstream to become idle, and others still wait for it.
     """
     slots = Slots(2, 4)
     first = Holder(slots)
-    assert first.has.wait(FAR)
-    lone = Holder(slots, alone=True, wait_s=0.2)
-    queued(slots, 1)
+    assert first.acquired.wait(MAX_WAIT_S)
+    exclusive = Holder(slots, alone=True, wait_s=0.2)
+    wait_until_queued(slots, 1)
     later = Holder(slots)
-    lone.thread.join(FAR)
-    assert lone.error is not None
-    assert later.has.wait(FAR)
+    exclusive.thread.join(MAX_WAIT_S)
+    assert exclusive.error is not None
+    assert later.acquired.wait(MAX_WAIT_S)
     first.end()
     later.end()
 
 
 @pytest.mark.parametrize("alone", [False, True])
-def test_a_full_queue_refuses(alone):
+def test_full_queue_rejects(alone):
     slots = Slots(1, 0)
     first = Holder(slots)
-    assert first.has.wait(FAR)
-    with pytest.raises(LacewingdockError), slots.hold(1, FAR, alone):
+    assert first.acquired.wait(MAX_WAIT_S)
+    with pytest.raises(LacewingdockError), slots.hold(1, MAX_WAIT_S, alone):
         pass
     first.end()
 
 
 def test_cancelled_request_leaves_the_queue():
-    """Symptom: live callers are refused though few wait.
+    """Guards against rejecting requests although few callers wait.
 
-    Sequence: callers leave while their requests are queued. Cause: those kept
-    their places until their turn or deadline.
+    Happens if the requests of callers that have disconnected keep their places
+    in the queue until their turn or their deadline.
     """
     slots = Slots(1, 1)
     wakes = []
--- a/tests/components/admission/test_urgency.py
+++ b/tests/components/admission/test_urgency.py
@@ -1,4 +1,4 @@
-"""Tests for what a full upstream refuses, and what it says of it."""
+"""Tests of rejections by a full upstream, and of their Retry-After."""
 
 import threading
 import time
@@ -9,12 +9,12 @@
 from lacewingdock.components.admission.wait_estimate import RETRY_SPREAD
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 
-FAR = 30.0
+MAX_WAIT_S = 30.0
 INTERACTIVE, NORMAL, BACKGROUND = range(3)
 
 
 class Waiter:
-    """A task that waits for a slot and says what became of it."""
+    """A thread that waits for a slot, and the result of the wait."""
 
     def __init__(self, slots, priority):
         self.slots = slots
@@ -23,21 +23,21 @@
         self.thread = threading.Thread(target=self.run)
         before = slots.queued
         self.thread.start()
-        end = time.monotonic() + FAR
+        end = time.monotonic() + MAX_WAIT_S
         while slots.queued == before and time.monotonic() < end:
             time.sleep(0.001)
 
     def run(self):
-        """Take a slot and give it back."""
+        """Acquire a slot and release it."""
         try:
-            with self.slots.hold(self.priority, time.monotonic() + FAR):
+            with self.slots.hold(self.priority, time.monotonic() + MAX_WAIT_S):
                 self.code = "ran"
         except LacewingdockError as error:
             self.code = error.kind
 
 
 @pytest.mark.parametrize(
-    ("queued", "comes", "refused"),
+    ("queued", "comes", "displaced"),
     [
         ([BACKGROUND, NORMAL], INTERACTIVE, [True, False]),
         ([NORMAL, BACKGROUND, BACKGROUND], NORMAL, [False, False, True]),
@@ -45,17 +45,16 @@
         ([BACKGROUND], BACKGROUND, None),
     ],
 )
-def test_full_queue_drops_its_least_urgent(queued, comes, refused):
-    # Symptom: a shopper's slot offer is refused while route-day plans wait.
-    # Sequence: plans fill the queue; an offer comes.
-    # Cause: whoever came first kept the place.
+def test_full_queue_displaces_its_least_urgent(queued, comes, displaced):
+    # Guards against rejecting an interactive request while background requests
+    # are queued. Happens if the queue is first come, first served.
     slots = Slots(1, len(queued))
-    with slots.hold(NORMAL, time.monotonic() + FAR):
+    with slots.hold(NORMAL, time.monotonic() + MAX_WAIT_S):
         waiters = [Waiter(slots, priority) for priority in queued]
-        if refused is None:
+        if displaced is None:
             with (
                 pytest.raises(LacewingdockError) as caught,
-                slots.hold(comes, time.monotonic() + FAR),
+                slots.hold(comes, time.monotonic() + MAX_WAIT_S),
             ):
                 pass
             assert caught.value.kind is ErrorKind.OVERLOADED
@@ -63,13 +62,13 @@
         else:
             newcomer = threading.Thread(target=Waiter, args=(slots, comes))
             newcomer.start()
-            gone = waiters[refused.index(True)]
-            gone.thread.join(FAR)
+            gone = waiters[displaced.index(True)]
+            gone.thread.join(MAX_WAIT_S)
     for waiter in waiters:
-        waiter.thread.join(FAR)
+        waiter.thread.join(MAX_WAIT_S)
     if newcomer is not None:
-        newcomer.join(FAR)
-    want = refused or [False] * len(queued)
+        newcomer.join(MAX_WAIT_S)
+    want = displaced or [False] * len(queued)
     assert [w.code == ErrorKind.OVERLOADED for w in waiters] == want
     assert slots.queued == 0
 
@@ -83,14 +82,13 @@
         (0.0, 1, 0, 0.2, None),
     ],
 )
-def test_what_can_not_start_in_time_is_refused_at_once(
+def test_request_that_cannot_start_in_time_is_rejected_at_once(
     mean_s, capacity, waiting, left_s, wait_s
 ):
-    # Symptom: callers wait out their whole deadline and get nothing, and
-    # those told "try again in a second" come back to a full pool.
-    # Sequence: a pool is full of long runs; short-lived requests queue.
-    # Cause: the queue took what it could not start in time, and its
-    # Retry-After was a constant.
+    # Guards against callers that wait until their deadline in vain, or retry
+    # after a second at a pool that is still full. Happens if requests with
+    # short deadlines queue behind long runs although they cannot start in
+    # time, and if Retry-After is a constant.
     slots = Slots(capacity, 8)
     slots.pace.mean_s = mean_s
     slots.running = capacity
--- a/tests/components/cordons/__init__.py
+++ b/tests/components/cordons/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of cordoned failure domains."""
+"""Tests of the cordons of failure domains."""
--- a/tests/components/cordons/test_cordons.py
+++ b/tests/components/cordons/test_cordons.py
@@ -1,4 +1,4 @@
-"""Tests that nothing new goes to a cordoned failure domain."""
+"""Tests that a cordoned failure domain gets no new requests."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 def entry(name, **changes):
-    """Return the entry of an instance; its name begins with its domain's."""
+    """Return an instance's entry; its name starts with its domain's name."""
     return entries.entry(name, **{"failure_domain": name[0], **changes})
 
 
@@ -27,71 +27,74 @@
     return found
 
 
-def set_(listener, domain, revision=5):
+def add_cordon(listener, domain, revision=5):
     """Cordon a failure domain."""
     stored = StoredObject(domain, revision, {})
     listener.change(Change(stored, removed=False), doubtful=False)
 
 
-def lift(listener, domain, revision=6):
-    """Take a cordon back."""
+def lift_cordon(listener, domain, revision=6):
+    """Lift a cordon."""
     stored = StoredObject(domain, revision, {})
     listener.change(Change(stored, removed=True), doubtful=False)
 
 
-def listed(listener, *domains):
-    """Tell which cordons there are at all."""
+def apply_list(listener, *domains):
+    """Apply a complete list of cordons."""
     objects = {name: StoredObject(name, 5) for name in domains}
     listener.replace(Snapshot(9, objects), doubtful=True)
 
 
-def open_ids(found):
-    """Return the ids of the instances that take requests."""
+def accepting_ids(found):
+    """Return the ids of the instances that accept requests."""
     return {one.entry.id for one in found.of_service("svc") if one.open}
 
 
 @pytest.mark.parametrize(
-    ("steps", "open_now"),
+    ("steps", "accepting"),
     [
         ([], EVERYTHING),
-        ([(set_, "a")], {"b-1", "c-1"}),
-        ([(set_, "a"), (set_, "b")], {"c-1"}),
-        ([(set_, "a"), (set_, "b"), (set_, "c")], set()),
-        ([(set_, "a"), (lift, "a")], EVERYTHING),
-        ([(set_, "a"), (set_, "b"), (lift, "a")], {"a-1", "a-2", "c-1"}),
-        ([(listed, "a")], {"b-1", "c-1"}),
-        # A list without it takes it back, also after an outage: nothing else
-        # would, where the removal was missed.
-        ([(set_, "a"), (listed,)], EVERYTHING),
-        ([(set_, "x")], EVERYTHING),
-        ([(lift, "x")], EVERYTHING),
+        ([(add_cordon, "a")], {"b-1", "c-1"}),
+        ([(add_cordon, "a"), (add_cordon, "b")], {"c-1"}),
+        ([(add_cordon, "a"), (add_cordon, "b"), (add_cordon, "c")], set()),
+        ([(add_cordon, "a"), (lift_cordon, "a")], EVERYTHING),
+        (
+            [(add_cordon, "a"), (add_cordon, "b"), (lift_cordon, "a")],
+            {"a-1", "a-2", "c-1"},
+        ),
+        ([(apply_list, "a")], {"b-1", "c-1"}),
+        # A list without the cordon lifts it, also after an outage: if the
+        # change that removed it was missed, nothing else would.
+        ([(add_cordon, "a"), (apply_list,)], EVERYTHING),
+        ([(add_cordon, "x")], EVERYTHING),
+        ([(lift_cordon, "x")], EVERYTHING),
     ],
 )
-def test_what_is_open(steps, open_now):
+def test_instances_that_accept_requests(steps, accepting):
     found = directory()
     listener = CordonListener(found)
     for step, *domains in steps:
         step(listener, *domains)
-    assert open_ids(found) == open_now
+    assert accepting_ids(found) == accepting
 
 
-def test_what_is_in_the_object_says_nothing():
-    """Symptom: work goes to a domain whose cordon can't be read.
+def test_content_of_a_cordon_is_ignored():
+    """Guards against requests to a domain whose cordon cannot be parsed.
 
-    Cause: another writer's object was left out as faulty.
+    Happens if an object that another writer created is skipped as invalid.
     """
     found = directory()
     listener = CordonListener(found)
     stored = StoredObject("a", 5)
     listener.change(Change(stored, removed=False), doubtful=False)
-    assert open_ids(found) == {"b-1", "c-1"}
+    assert accepting_ids(found) == {"b-1", "c-1"}
 
 
 @pytest.mark.parametrize(
     "change",
     [
-        # It starts there, starts again, moves there, is renewed, comes back
-        # after an outage.
+        # An instance starts in the domain, restarts, moves to the domain,
+        # changes its entry, or comes back after an outage.
         lambda found: found.take(entry("a-9")),
         lambda found: found.take(entry("a-1", born=9)),
         lambda found: found.take(entry("b-1", failure_domain="a")),
@@ -102,7 +105,7 @@
         ],
     ],
 )
-def test_instances_that_come_meanwhile_get_nothing(change):
+def test_instances_that_join_a_cordoned_domain_get_no_requests(change):
     found = directory()
     CordonListener(found).replace(
         Snapshot(9, {"a": StoredObject("a", 5)}), doubtful=False
@@ -117,16 +120,16 @@
 @pytest.mark.parametrize(
     "tried",
     [
-        # First tries, repeats, larger models and resumed streams; the last
-        # has been everywhere else.
+        # First attempts, then retries, larger models and resumed streams; the
+        # last case has tried all instances outside of the domain.
         (),
         ("b-1",),
         ("b-1", "c-1"),
     ],
 )
-def test_no_choice_falls_on_it(tried):
+def test_cordoned_instances_are_never_chosen(tried):
     found = directory()
-    set_(CordonListener(found), "a")
+    add_cordon(CordonListener(found), "a")
     for name in ("b-1", "c-1"):
         found.instances[name].running = 50
     chooser = Chooser(found, "a", random.Random(1))
@@ -136,72 +139,89 @@
     assert not chooser.has_other("svc", ["b-1", "c-1"])
 
 
-def test_trials_of_failed_instances_do_not_go_there():
-    """Symptom: an instance that failed is tried although it is cordoned."""
+def test_ejected_cordoned_instances_get_no_trial_requests():
+    """Guards against trial requests to an ejected, cordoned instance."""
     found = directory()
     for name in EVERYTHING:
         found.instances[name].failed(5.0)
         found.instances[name].trial_at = 0.0
-    set_(CordonListener(found), "a")
+    add_cordon(CordonListener(found), "a")
     chooser = Chooser(found, "a", random.Random(1))
     for _ in range(10):
         chosen = chooser.choose("svc", lambda _: True, 1.0)
         assert chosen.entry.failure_domain != "a"
 
 
-def test_last_domain_is_no_exception():
+def test_cordon_applies_to_the_last_domain_too():
     found = directory()
     listener = CordonListener(found)
-    listed(listener, "a", "b", "c")
+    apply_list(listener, "a", "b", "c")
     chooser = Chooser(found, "a", random.Random(1))
     assert chooser.choose("svc", lambda _: True, 1.0) is None
     assert found.versions("svc") == set()
 
 
-def copied(listener, *domains, doubtful=True):
-    """Tell which cordons a store shows that is back from a copy."""
+def apply_restored_list(listener, *domains, doubtful=True):
+    """Apply the list of a store that was restored from a backup."""
     objects = {name: StoredObject(name, revision_of(2, 5)) for name in domains}
     snapshot = Snapshot(revision_of(2, 7), objects)
     listener.replace(snapshot, doubtful=doubtful)
 
 
-def unlist(listener, domain):
-    """Tell as a follower that a list lacks a cordon."""
+def apply_unlisted(listener, domain):
+    """Apply a follower's change for a cordon that a list lacks."""
     change = Change(StoredObject(domain, 5), removed=True, unlisted=True)
     listener.change(change, doubtful=True)
 
 
 def lift_unconfirmed(listener, _):
-    """Let the store have all again."""
+    """Lift the unconfirmed cordons, as when the store is complete again."""
     listener.lift_unconfirmed()
 
 
 @pytest.mark.parametrize(
-    ("steps", "open_now"),
+    ("steps", "accepting"),
     [
-        ([(copied, "b")], {"c-1"}),
-        ([(copied, "b"), (lift_unconfirmed, "")], {"a-1", "a-2", "c-1"}),
-        ([(copied, "b"), (copied, "b")], {"c-1"}),
-        ([(copied, "b"), (set_, "a"), (lift_unconfirmed, "")], {"c-1"}),
-        ([(copied, "b"), (lift, "a")], {"a-1", "a-2", "c-1"}),
-        ([(unlist, "a")], {"c-1"}),
-        ([(unlist, "a"), (lift_unconfirmed, "")], {"a-1", "a-2", "c-1"}),
-        # One that was lifted counts again where the store shows it.
-        ([(lift, "a"), (copied, "a")], {"c-1"}),
+        ([(apply_restored_list, "b")], {"c-1"}),
+        (
+            [(apply_restored_list, "b"), (lift_unconfirmed, "")],
+            {"a-1", "a-2", "c-1"},
+        ),
+        ([(apply_restored_list, "b"), (apply_restored_list, "b")], {"c-1"}),
+        (
+            [
+                (apply_restored_list, "b"),
+                (add_cordon, "a"),
+                (lift_unconfirmed, ""),
+            ],
+            {"c-1"},
+        ),
+        (
+            [(apply_restored_list, "b"), (lift_cordon, "a")],
+            {"a-1", "a-2", "c-1"},
+        ),
+        ([(apply_unlisted, "a")], {"c-1"}),
+        (
+            [(apply_unlisted, "a"), (lift_unconfirmed, "")],
+            {"a-1", "a-2", "c-1"},
+        ),
+        # A lifted cordon applies again if the restored store lists it.
+        ([(lift_cordon, "a"), (apply_restored_list, "a")], {"c-1"}),
     ],
 )
-def test_cordon_that_the_stores_copy_lacks_stands_until_that_is_known(
-    steps, open_now
+def test_cordon_missing_in_a_restored_store_stays_until_confirmed(
+    steps, accepting
 ):
-    """Symptom: work goes to a failure domain that an operator is emptying.
+    """Guards against requests to a failure domain under maintenance.
 
-    Sequence: the store comes back from a copy of before the cordon, which is
-    written again within seconds. Cause: what a list lacked was lifted at once.
+    Happens if the store is restored from a backup that is older than the
+    cordon, which is written again within seconds, and a cordon that the list
+    lacks is lifted at once.
     """
     found = directory()
     listener = CordonListener(found)
     for domain in ("a", "b"):
-        set_(listener, domain)
+        add_cordon(listener, domain)
     for step, domain in steps:
         step(listener, domain)
-    assert open_ids(found) == open_now
+    assert accepting_ids(found) == accepting
--- a/tests/components/test_host_watch.py
+++ b/tests/components/test_host_watch.py
@@ -1,4 +1,4 @@
-"""Tests of settings that change while a router runs."""
+"""Tests of reloading the profile file while a router runs."""
 
 import logbook
 import pytest
@@ -32,21 +32,21 @@
 
 
 def file(**changes):
-    """Return a settings file's text."""
+    """Return the text of a profile file."""
     return FILE.format(**PLAIN | changes)
 
 
 @pytest.fixture
 def watched(tmp_path):
-    """A file and the watch that began with it."""
+    """Return a profile file and the watch that was started with it."""
     path = tmp_path / "boot.toml"
     path.write_text(file())
     text = file()
     return path, HostWatch(str(path), text, parse_profile(text, str(path)))
 
 
-def said(handler):
-    """Return what was logged, message and fields."""
+def logged(handler):
+    """Return message and fields of the logged records."""
     return [(one.message, dict(one.kwargs)) for one in handler.records]
 
 
@@ -60,7 +60,9 @@
         ({"name": "n-2", "ratio": 0.1}, ["bounds"], ["instance"]),
     ],
 )
-def test_changed_file_is_taken_without_a_signal(watched, changes, taken, fixed):
+def test_changed_file_is_applied_without_a_signal(
+    watched, changes, taken, fixed
+):
     path, watch = watched
     host = watch.host
     path.write_text(file(**changes))
@@ -68,7 +70,7 @@
         watch.check(asked=False)
         watch.check(asked=False)
     fields = {"asked": False, "taken": taken, "need_restart": fixed}
-    assert said(handler) == [("settings read again", fields)]
+    assert logged(handler) == [("settings read again", fields)]
     wanted = parse_profile(file(**changes), "x")
     assert watch.host is host
     for name in taken:
@@ -77,7 +79,7 @@
 
 
 @pytest.mark.parametrize("text", [None, "grace_s = ", file(grace=-1)])
-def test_faulty_file_leaves_the_older_settings_in_use(watched, text):
+def test_invalid_file_leaves_the_previous_settings_in_use(watched, text):
     path, watch = watched
     if text is None:
         path.unlink()
@@ -86,7 +88,7 @@
     with logbook.TestHandler() as handler:
         watch.check(asked=False)
         watch.check(asked=False)
-    assert [message for message, _ in said(handler)] == [
+    assert [message for message, _ in logged(handler)] == [
         "settings not read again"
     ]
     assert watch.host.bounds.grace_s == 8.0
@@ -95,9 +97,9 @@
     assert watch.host.bounds.grace_s == 5.0
 
 
-def test_signal_is_answered_in_the_log_where_nothing_changed(watched):
+def test_signal_is_logged_even_if_nothing_changed(watched):
     _, watch = watched
     with logbook.TestHandler() as handler:
         watch.check(asked=True)
     fields = {"asked": True, "taken": [], "need_restart": []}
-    assert said(handler) == [("settings read again", fields)]
+    assert logged(handler) == [("settings read again", fields)]
--- a/tests/helpers/test_append_log.py
+++ b/tests/helpers/test_append_log.py
@@ -1,4 +1,4 @@
-"""Tests for the append log."""
+"""Tests of the append log."""
 
 import base64
 import json
@@ -25,7 +25,7 @@
 
 
 def contents(store):
-    """Every key in the store's slots, decoded without the code under test."""
+    """Return all keys in the slots, decoded without the code under test."""
     slots = store.objects.get("logs", {})
     return [
         row[0]
@@ -43,13 +43,12 @@
         assert error.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
-# Symptom: a row stands twice, or not at all, after the answer to its write
-# went missing. Events: the write takes effect and its answer is lost; or it
-# does not; or it takes effect long after it was given up and tried again.
-# Cause: the writer can't tell these apart.
+# Guards against a row that is duplicated or missing after the answer to its
+# write was lost. The write may have been applied, may have been dropped, or may
+# be applied long after it was retried; the writer cannot distinguish these.
 @pytest.mark.parametrize("fate", ["lost", "dropped", "late"])
 @pytest.mark.parametrize("arrives", ["before", "after", "never"])
-def test_a_write_without_answer_is_in_once(fate, arrives):
+def test_unacknowledged_write_is_applied_once(fate, arrives):
     store = FakeStore()
     log = open_log(store)
     store.fates.append(fate)
@@ -63,11 +62,10 @@
     assert sorted(contents(store)) == ["w", "x", "y", "z"]
 
 
-# Symptom: rows that a frozen writer had ready stand twice once it thaws.
-# Events: a writer freezes before its write; another takes its rows over and
-# writes them; the first thaws and goes on. Cause: a frozen process doesn't
-# know that it was given up.
-def test_a_frozen_writer_finds_what_another_wrote():
+# Guards against duplicate rows after a writer was suspended. It is suspended
+# before its write, another writer takes over its rows and writes them, and the
+# first resumes without knowing that it was replaced.
+def test_suspended_writer_adds_no_duplicates():
     store = FakeStore()
     frozen, other = open_log(store), open_log(store)
     append(frozen, "a")
@@ -77,10 +75,10 @@
     assert contents(store) == ["a", "b", "c"]
 
 
-# Symptom: a row offered again long after it was written stands twice.
-# Events: the word that it is kept was lost; many slots later it is offered
-# again. Cause: the writer forgets old keys to bound its memory.
-def test_forgotten_slots_are_read_again(monkeypatch):
+# Guards against a duplicate of a row that is sent again long after it was
+# written, because the acknowledgement was lost. By then the writer has evicted
+# the row's key to bound its memory.
+def test_evicted_slots_are_read_again(monkeypatch):
     monkeypatch.setattr(append_log, "REMEMBERED_SLOTS", 2)
     store = FakeStore()
     log = open_log(store)
--- a/tests/helpers/test_http_server.py
+++ b/tests/helpers/test_http_server.py
@@ -1,4 +1,4 @@
-"""Tests for the HTTP server against callers that misbehave."""
+"""Tests of the HTTP server with slow and faulty callers."""
 
 import contextlib
 import json
@@ -24,14 +24,14 @@
 
 
 class Echo:
-    """Answers with the body; GET /wait waits until told to go on."""
+    """Echoes the body; GET /wait waits until `go_on` is set."""
 
     def __init__(self):
         self.go_on = threading.Event()
         self.waiting = threading.Semaphore(0)
 
     def __call__(self, environ, start_response):
-        """Answer one request (WSGI)."""
+        """Respond to one request (WSGI)."""
         request = Request(environ)
         if request.path == "/wait":
             self.waiting.release()
@@ -69,7 +69,7 @@
 
 
 def send(server, *pieces):
-    """Send raw bytes and return all that comes until the server closes."""
+    """Send raw bytes; return all bytes received until the server closes."""
     with connect(server) as sock:
         for piece in pieces:
             sock.sendall(piece)
@@ -130,11 +130,11 @@
     assert answer.count(b"abcde") == 2
 
 
-def test_unread_chunked_body_is_not_taken_for_a_request():
-    # Symptom: a caller gets the answer to a request it never sent.
-    # Sequence: a chunked request is refused before its body is read; the body
-    # holds the text of another request; the connection is kept open.
-    # Cause: the server read on from where the refusal left the connection.
+def test_unread_chunked_body_is_not_parsed_as_a_request():
+    # Guards against request smuggling: a caller gets a response to a request it
+    # never sent. Happens if a chunked request is rejected before its body is
+    # read, the body contains the text of another request, and the server parses
+    # the unread body as the next request on the connection.
     inner = HELLO
     request = CHUNKED.replace(b"POST /", b"POST /unread") + (
         b"%x\r\n" % len(inner) + inner + b"\r\n0\r\n\r\n"
@@ -144,10 +144,10 @@
     assert answer.count(b"HTTP/1.1 ") == 1, answer
 
 
-def test_taken_threads_refuse_at_once():
-    # Symptom: callers hang while every other instance is idle.
-    # Sequence: as many long answers as threads; then one more request.
-    # Cause: it queued behind answers that take minutes.
+def test_requests_are_rejected_while_all_threads_are_busy():
+    # Guards against callers that hang while all other instances are idle.
+    # Happens if every thread serves a long response, and a further request is
+    # queued behind these for minutes.
     app = Echo()
     with serving(app, threads=2) as server, contextlib.ExitStack() as stack:
         for _ in range(2):
@@ -161,10 +161,9 @@
         assert sock.recv(65536).startswith(b"HTTP/1.1 200")
 
 
-def test_silent_connections_take_no_thread():
-    # Symptom: a few opened connections keep every caller out.
-    # Sequence: more connections than threads are opened and say nothing.
-    # Cause: each took a thread from the moment it was accepted.
+def test_idle_connections_use_no_thread():
+    # Guards against a few idle connections that block every caller. Happens if
+    # a connection occupies a thread from the moment it is accepted.
     with serving(Echo(), threads=2) as server, contextlib.ExitStack() as stack:
         for _ in range(8):
             stack.enter_context(connect(server))
@@ -173,32 +172,31 @@
             assert sock.recv(65536).startswith(b"HTTP/1.1 200")
 
 
-def test_threads_are_started_as_they_are_needed():
-    # Symptom: an idle entry is past its memory budget.
-    # Sequence: it starts; nobody calls; later callers come at once.
-    # Cause: every thread that a peak may need was started at the start.
+def test_threads_are_started_on_demand():
+    # Guards against an idle entry that exceeds its memory budget. Happens if
+    # all threads that a peak may need are started with the server.
     app = Echo()
     with serving(app, threads=32) as server, contextlib.ExitStack() as stack:
         assert _threads_of(server) == 0
         for _ in range(8):
             assert b"200 OK" in send(server, HELLO.replace(b"1.1", b"1.0"))
-            # The caller has its answer before the thread waits again.
+            # The caller has the response before the thread is idle again.
             wait(lambda: server.requests.spare.value == _threads_of(server))
         assert _threads_of(server) == 1
         for _ in range(32):
             sock = stack.enter_context(connect(server))
             sock.sendall(HELLO.replace(b"/ ", b"/wait "))
-        # None waits behind another's long answer.
+        # No request waits behind the long response to another.
         for _ in range(32):
             assert app.waiting.acquire(timeout=5)
         assert _threads_of(server) == 32
         assert problem(send(server, HELLO)) == "overloaded"
 
 
-def test_a_thread_that_cannot_be_started_is_a_refusal(monkeypatch):
-    # Symptom: an instance accepts callers and answers none.
-    # Sequence: the system gives no more threads; a caller comes.
-    # Cause: the error ended the accepting task.
+def test_request_is_rejected_if_no_thread_can_be_started(monkeypatch):
+    # Guards against an instance that accepts callers and never responds.
+    # Happens if the system cannot start a thread for a caller, and the error
+    # ends the accepting thread.
     with serving(Echo(), threads=2) as server:
         with monkeypatch.context() as patch:
             patch.setattr(server.requests, "_spawn_worker", _no_thread)
@@ -220,9 +218,9 @@
 
 @pytest.mark.parametrize("path", [b"/", b"/flood"])
 def test_stalled_callers_free_their_threads(path):
-    # Symptom: an instance's threads run out although nobody is answered.
-    # Sequence: callers trickle their headers, or ask and never read.
-    # Cause: each byte started the read's time limit again; a write had none.
+    # Guards against an instance whose threads are all held by stalled callers.
+    # Happens if callers send their headers byte by byte and each byte restarts
+    # the read timeout, or if they never read and a write has no timeout.
     options = {"threads": 1, "stall_s": 0.4, "read_s": 0.6}
     with serving(Echo(), **options) as server, connect(server) as slow:
         if path == b"/":
@@ -252,7 +250,7 @@
 
 
 def make_certificate(folder, name):
-    """Write a self-signed pair; return its certificate and key files."""
+    """Create a self-signed certificate; return its file and the key file."""
     cert, key = folder / f"{name}.pem", folder / f"{name}.key"
     command = (
         "openssl req -x509 -newkey ec -pkeyopt ec_paramgen_curve:prime256v1 "
@@ -275,11 +273,11 @@
     return ssl.PEM_cert_to_DER_cert(path.read_text())
 
 
-def test_certificate_rotates_in_place(tmp_path):
-    # Symptom: after a renewal every new caller is refused.
-    # Sequence: the renewal has written the certificate and not yet the key
-    # when the files are read again.
-    # Cause: half a pair was loaded over the one in use.
+def test_certificate_is_reloaded_without_a_restart(tmp_path):
+    # Guards against failing handshakes of all new callers after a renewal.
+    # Happens if the files are reloaded when the renewal has written the
+    # certificate but not yet the key, and the mismatched pair replaces the one
+    # in use.
     cert, key = make_certificate(tmp_path, "in-use")
     new_cert, new_key = make_certificate(tmp_path, "renewed")
     old = der(cert)
@@ -294,10 +292,10 @@
         assert served_certificate(server) == der(new_cert)
 
 
-def test_stalled_handshake_keeps_nobody_out(tmp_path):
-    # Symptom: no caller gets in for ten seconds at a time.
-    # Sequence: one caller connects and sends half a TLS hello.
-    # Cause: the accepting task did the handshake.
+def test_stalled_handshake_does_not_block_other_callers(tmp_path):
+    # Guards against one caller that blocks all others for ten seconds by
+    # sending half a TLS hello. Happens if the accepting thread does the
+    # handshake.
     cert, key = make_certificate(tmp_path, "in-use")
     with (
         serving(Echo(), threads=2, tls=(str(cert), str(key))) as server,
@@ -311,7 +309,7 @@
             assert sock.recv(65536).startswith(b"HTTP/1.1 200")
 
 
-def test_port_taken_is_coded():
+def test_port_in_use_raises_port_taken():
     with serving(Echo(), threads=1) as server:
         with pytest.raises(LacewingdockError) as caught:
             build_server("127.0.0.1", server.bind_addr[1], Echo(), threads=1)
--- a/tests/helpers/test_log_stream.py
+++ b/tests/helpers/test_log_stream.py
@@ -1,4 +1,4 @@
-"""Tests of the log stream: bounded, never blocking."""
+"""Tests of the log stream: bounded and non-blocking."""
 
 import json
 import os
@@ -13,8 +13,8 @@
 
 @pytest.fixture
 def pipe():
-    # A stream's thread outlives its test: its end stays open, so that its
-    # number is not another test's pipe.
+    # The thread of a stream outlives its test. The write end stays open, so
+    # that the pipe of another test does not get the same descriptor.
     ends = os.pipe()
     yield ends
     os.close(ends[0])
@@ -30,12 +30,13 @@
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 3 * log_stream.BATCH_DELAY_S])
-def test_stalled_reader_blocks_nobody(pipe, monkeypatch, pause_s):
-    """Symptom: requests hang while the log collector is stuck.
+def test_stalled_reader_does_not_block_writers(pipe, monkeypatch, pause_s):
+    """Guards against requests that hang while the log collector is stuck.
 
-    The pipe is full. Cause: whoever logged wrote to it by himself. With the
-    pause, lines are gathered, and the first drops told of, before the end;
-    each line is then here, or in what was told, or still to be told.
+    Happens if the logging thread itself writes to the pipe, which is full.
+    With the pause, lines are batched and the first drops are reported before
+    the last lines. Each line is then received, reported as dropped, or counted
+    as dropped and not reported yet.
     """
     count = 30_000
     monkeypatch.setattr(log_stream, "LINES_PER_S", 1e9)
@@ -49,24 +50,24 @@
         stream.write("x" * 100 + "\n")
     assert time.monotonic() - start < 2.0
     assert len(stream._lines) <= log_stream.MAX_LINES
-    arrived, told = _read_all(pipe[0])
-    dropped = told + stream.dropped
+    arrived, reported = _read_all(pipe[0])
+    dropped = reported + stream.dropped
     assert arrived + dropped == count
-    # Nothing left the queue while the reader stalled.
+    # No line left the queue while the reader was stalled.
     assert dropped >= count - log_stream.MAX_LINES
 
 
 def _read_all(descriptor):
-    """Read until nothing comes; return lines that came and drops told of."""
+    """Read all lines; return the received and the reported dropped lines."""
     text = b""
     while select.select([descriptor], [], [], 0.5)[0]:
         text += os.read(descriptor, 1 << 20)
     lines = text.decode().splitlines()
-    told = [json.loads(one)["lines"] for one in lines if one[0] == "{"]
-    return len(lines) - len(told), sum(told)
+    reported = [json.loads(one)["lines"] for one in lines if one[0] == "{"]
+    return len(lines) - len(reported), sum(reported)
 
 
-def test_flood_is_bounded_and_what_is_dropped_is_said(pipe):
+def test_flood_is_limited_and_drops_are_reported(pipe):
     stream = LogStream(pipe[1])
     for _ in range(int(log_stream.BURST) + 500):
         stream.write("x\n")
