--- a/lacewingdock/components/gateway/attempt.py
+++ b/lacewingdock/components/gateway/attempt.py
@@ -251,7 +251,7 @@
             The result, and the answer's head if the connection can be reused.
         """
         call = self.call
-        if self.caller.left():
+        if self.caller.caller_closed():
             raise CallerLeft
         connection.send(
             call.id,
--- a/lacewingdock/helpers/server_connection.py
+++ b/lacewingdock/helpers/server_connection.py
@@ -134,8 +134,8 @@
         """Whether the response was sent completely."""
         return self.parser.our_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
-    def left(self) -> bool:
-        """Whether the caller closed its connection."""
+    def caller_closed(self) -> bool:
+        """Return whether the caller closed its connection."""
         return bool(self._poll.poll(0)) and peer_closed(self.sock)
 
     def start(self, status: int, headers: Headers) -> None:
