--- a/lacewingdock/components/gateway/attempt.py
+++ b/lacewingdock/components/gateway/attempt.py
@@ -209,7 +209,7 @@
         Raises:
             CallerLeft: The caller closed its connection while the answer was
                 awaited.
-            CallerGone: Sending to the caller failed.
+            CallerDisconnected: Sending to the caller failed.
         """
         try:
             connection = self.pool.acquire(self.instance.entry, sending.left_s)
@@ -251,7 +251,7 @@
             The result, and the answer's head if the connection can be reused.
         """
         call = self.call
-        if self.caller.left():
+        if self.caller.caller_closed():
             raise CallerLeft
         connection.send(
             call.id,
--- a/lacewingdock/components/readiness.py
+++ b/lacewingdock/components/readiness.py
@@ -1,4 +1,4 @@
-"""Support for telling the balancer whether to send callers here."""
+"""Readiness endpoint for the load balancer in front of the routers."""
 
 import socket
 import threading
@@ -9,7 +9,7 @@
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.server_connection import (
-    CallerGone,
+    CallerDisconnected,
     ServerConnection,
     ServerRequest,
     serve_requests,
@@ -17,25 +17,27 @@
 from lacewingdock.helpers.sockets import Listener
 from lacewingdock.world.route import CallerLimits
 
-# The balancer asks once a second, mostly over a kept connection.
+# The load balancer probes once a second, usually over a persistent connection.
 _LIMITS: Final = CallerLimits(read_s=1.0, idle_s=10.0)
-# One balancer, which may open a new connection before an old one is closed.
+# Concurrent connections: there is one load balancer, which may open a new
+# connection before it has closed the old one.
 MAX_CONNECTIONS: Final = 16
 
 log = get_logger("readiness")
 
 
-class ReadinessPort:
-    """Answers 200 while this router can serve, and 503 otherwise.
+class ReadinessServer:
+    """Answers 200 while this router can serve requests, and 503 otherwise.
 
     Attributes:
-        missing: Returns what is missing to serve; empty if nothing.
-        leaving: Set once the daemon is to stop.
+        missing: Returns what this router lacks to serve requests; empty if it
+            is ready.
+        leaving: Set when the daemon starts to drain.
         listener: Accepts the connections.
-        last: What was missing when it was asked last.
+        last_missing: Result of the last probe; a change is logged.
     """
 
-    __slots__ = ("last", "leaving", "listener", "missing")
+    __slots__ = ("last_missing", "leaving", "listener", "missing")
 
     def __init__(
         self,
@@ -43,27 +45,27 @@
         missing: Callable[[], str],
         leaving: threading.Event,
     ) -> None:
-        """Bind the port; `listener.run` serves it.
+        """Bind the port; `listener.run` accepts connections on it.
 
         Raises:
             LacewingdockError: PORT_TAKEN or BAD_SETTING.
         """
         self.missing = missing
         self.leaving = leaving
-        self.last: str | None = None
+        self.last_missing: str | None = None
         self.listener = Listener("ready", address, self.serve, MAX_CONNECTIONS)
 
     def serve(self, sock: socket.socket) -> None:
-        """Serve one connection."""
+        """Serve the probes of one connection."""
         try:
             serve_requests(sock, _LIMITS, self._answer)
-        except (CallerGone, LacewingdockError) as error:
-            log.info("question unread", error=repr(error))
+        except (CallerDisconnected, LacewingdockError) as error:
+            log.info("readiness probe not read", error=repr(error))
 
     def _answer(self, connection: ServerConnection, _: ServerRequest) -> None:
         missing = "leaving" if self.leaving.is_set() else self.missing()
-        if missing != self.last:
-            self.last = missing
+        if missing != self.last_missing:
+            self.last_missing = missing
             log.info("ready" if not missing else "not ready", missing=missing)
         status = HTTPStatus.SERVICE_UNAVAILABLE if missing else HTTPStatus.OK
         connection.answer(status, [], missing.encode())
--- a/lacewingdock/components/upstreams/directory.py
+++ b/lacewingdock/components/upstreams/directory.py
@@ -10,7 +10,7 @@
 from lacewingdock.components.upstreams.signals import SignalMemory
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.helpers.recent import remember
+from lacewingdock.helpers.lru import insert_lru
 from lacewingdock.world.backend import UpstreamEntry
 
 # Grace period in seconds for lapsed entries after the platform's store returns
@@ -287,7 +287,7 @@
         current.gone = True
         del self.instances[name]
         last = current.entry
-        remember(self.departed, last.incarnation, last.sequence, MAX_DEPARTED)
+        insert_lru(self.departed, last.incarnation, last.sequence, MAX_DEPARTED)
         self._index()
         log.info("upstream gone", upstream=name, lapsed=current.lapsed)
 
@@ -369,7 +369,7 @@
         with self._changing:
             if key in self.replaced:
                 return False
-            remember(self.replaced, key, self.clock.now(), MAX_REPLACED)
+            insert_lru(self.replaced, key, self.clock.now(), MAX_REPLACED)
             instance.gone = True
             if self.instances.get(entry.id) is instance:
                 del self.instances[entry.id]
@@ -380,7 +380,7 @@
         if not entry.born:
             return
         most = max(MIN_STARTS, 2 * len(self.instances))
-        remember(self.newest_starts, entry.id, entry.born, most)
+        insert_lru(self.newest_starts, entry.id, entry.born, most)
 
     def _index(self) -> None:
         index: dict[str, list[UpstreamInstance]] = {}
--- a/lacewingdock/components/upstreams/signals.py
+++ b/lacewingdock/components/upstreams/signals.py
@@ -26,7 +26,7 @@
 from lacewingdock.components.upstreams.rest import Rest
 from lacewingdock.helpers.clock import STEADY, Clock
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.helpers.recent import remember
+from lacewingdock.helpers.lru import insert_lru
 from lacewingdock.world.backend import UpstreamEntry
 from lacewingdock.world.call import AnswerHead
 
@@ -92,7 +92,7 @@
         """Return the signals of a start, new ones if there are none."""
         with self._lock:
             found = self.by_incarnation.get(incarnation) or Signals()
-            remember(self.by_incarnation, incarnation, found, MAX_REMEMBERED)
+            insert_lru(self.by_incarnation, incarnation, found, MAX_REMEMBERED)
         return found
 
     def answered(
--- a/lacewingdock/helpers/server_connection.py
+++ b/lacewingdock/helpers/server_connection.py
@@ -1,4 +1,4 @@
-"""Support for the server's end of a connection: requests in, answers out."""
+"""Server side of HTTP/1.1 connections: reads requests, sends responses."""
 
 import contextlib
 import select
@@ -12,19 +12,20 @@
 import h11
 
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
-from lacewingdock.helpers.sockets import has_left
+from lacewingdock.helpers.sockets import peer_closed
 from lacewingdock.world.call import Headers
 from lacewingdock.world.route import CallerLimits
 
-# Read at once at most: a link's usual window, so that one read takes what came.
+# Bytes per read: a usual receive window, so that one read empties the socket.
 READ_BYTES: Final = 64 * 1024
-# A caller that takes nothing for this long is given up; its answer would
-# hold memory and an upstream's place.
+# Timeout of one write in seconds. The response to a caller that reads nothing
+# would hold memory and a slot of an upstream.
 WRITE_S: Final = 10.0
-# What a refused caller still sends is read this long, since closing with
-# unread bytes resets the connection and takes the answer along.
+# Seconds for which the rest of a rejected request is read before the close.
+# Closing with unread bytes resets the connection and can discard the response.
 LINGER_S: Final = 0.5
-# As for upstreams: a caller behind a cut acknowledges nothing.
+# TCP_USER_TIMEOUT in milliseconds, as for upstreams: a caller behind a network
+# partition acknowledges nothing.
 USER_TIMEOUT_MS: Final = 10_000
 
 _ERROR_KINDS: Final = {
@@ -33,20 +34,20 @@
 }
 
 
-class CallerGone(Exception):
-    """The caller closed its connection, or it broke."""
+class CallerDisconnected(Exception):
+    """The caller closed its connection, or the connection failed."""
 
 
 @dataclass(slots=True)
 class ServerRequest:
-    """A whole request.
+    """A complete request.
 
     Attributes:
         method: HTTP method.
         target: Path and query, as sent.
         headers: Headers with names in lower case.
-        raw: The same headers, in the same order, as they came.
-        body: The body.
+        raw: The same headers, in the same order, with names as received.
+        body: The complete body.
     """
 
     method: bytes
@@ -57,39 +58,46 @@
 
 
 class ServerConnection:
-    """A connection that one task serves.
+    """A connection that one thread serves.
 
     Attributes:
         sock: The socket.
-        parser: State of the protocol.
-        keep: Whether another request may follow.
-        started: Whether the head of an answer went out.
-        read_at: Monotonic time at which the last request was whole.
+        parser: State of the HTTP protocol.
+        keep_alive: Whether another request may follow.
+        started: Whether the head of a response was sent.
+        received_at: Monotonic time at which the last request was complete.
     """
 
-    __slots__ = ("_poll", "keep", "parser", "read_at", "sock", "started")
+    __slots__ = (
+        "_poll",
+        "keep_alive",
+        "parser",
+        "received_at",
+        "sock",
+        "started",
+    )
 
     def __init__(self, sock: socket.socket) -> None:
-        """Take an accepted socket."""
+        """Set the TCP options of an accepted socket."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
         )
         self.sock = sock
         self.parser = h11.Connection(h11.SERVER)
-        self.keep = True
+        self.keep_alive = True
         self.started = False
-        self.read_at = 0.0
+        self.received_at = 0.0
         self._poll = select.poll()
         self._poll.register(sock, select.POLLIN)
 
     def read_request(self, limits: CallerLimits) -> ServerRequest | None:
-        """Read a request; None when the caller sent none.
+        """Read a request; None if the caller sent none.
 
         Raises:
             LacewingdockError: BAD_REQUEST, HEADERS_TOO_LARGE, BODY_TOO_LARGE
                 or SLOW_CALLER.
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection failed.
         """
         self._next_cycle(limits)
         until = time.monotonic() + limits.idle_s
@@ -102,12 +110,12 @@
             event = self._event_or_none()
         if not isinstance(event, h11.Request):
             return None
-        # Once a request has begun, no later than this must it be whole.
+        # The body must be complete within the read limit after the head.
         until = time.monotonic() + limits.read_s
         self.started = False
         self._check_head(event, limits.header_bytes)
         body = self._read_body(until, limits.body_bytes)
-        self.read_at = time.monotonic()
+        self.received_at = time.monotonic()
         return ServerRequest(
             event.method,
             event.target,
@@ -118,34 +126,34 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may be read."""
-        return self.keep and self.parser.our_state is h11.DONE
+        """Whether another request may be read from this connection."""
+        return self.keep_alive and self.parser.our_state is h11.DONE
 
     @property
     def complete(self) -> bool:
-        """Whether the answer that was begun went out whole."""
+        """Whether the response was sent completely."""
         return self.parser.our_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
-    def left(self) -> bool:
-        """Whether the caller closed its connection."""
-        return bool(self._poll.poll(0)) and has_left(self.sock)
+    def caller_closed(self) -> bool:
+        """Return whether the caller closed its connection."""
+        return bool(self._poll.poll(0)) and peer_closed(self.sock)
 
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose length is not known.
+        """Send the head of a response whose length is not known yet.
 
         Raises:
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection failed.
         """
         self.started = True
-        if not self.keep:
+        if not self.keep_alive:
             headers = [*headers, (b"Connection", b"close")]
         self._send(h11.Response(status_code=status, headers=headers))
 
     def send(self, data: bytes) -> None:
-        """Send a piece of the body.
+        """Send a part of the body.
 
         Raises:
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection failed.
         """
         self._send(h11.Data(data=data))
 
@@ -153,40 +161,40 @@
         """End the body.
 
         Raises:
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection failed.
         """
         self._send(h11.EndOfMessage())
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer.
+        """Send a complete response.
 
         Raises:
-            CallerGone: The connection broke.
+            CallerDisconnected: The connection failed.
         """
         self.started = True
         headers = [*headers, (b"Content-Length", b"%d" % len(body))]
-        if not self.keep:
+        if not self.keep_alive:
             headers.append((b"Connection", b"close"))
         head = h11.Response(status_code=status, headers=headers)
         self._send(head, h11.Data(data=body), h11.EndOfMessage())
 
     def close(self) -> None:
-        """Close it after what a refused caller still sends."""
+        """Close the connection, after draining the rest of a request."""
         with contextlib.suppress(OSError):
             if self.parser.their_state in (h11.SEND_BODY, h11.ERROR):
                 self._drain()
         self.abort()
 
     def abort(self) -> None:
-        """Close it at once: an answer on the way stays incomplete."""
+        """Close the connection at once; a response stays incomplete."""
         with contextlib.suppress(OSError):
             self.sock.close()
 
     def _next_cycle(self, limits: CallerLimits) -> None:
         if self.parser.our_state is h11.DONE:
             self.parser.start_next_cycle()
-        # The limit is a setting that may change while the connection lives,
-        # and the library takes it only at its creation.
+        # The limit is a setting that may change while the connection is open,
+        # but h11 accepts it only when the parser is created.
         if self.parser.our_state is h11.IDLE:
             rest = self.parser.trailing_data[0]
             self.parser = h11.Connection(
@@ -199,39 +207,39 @@
         try:
             event = self.parser.next_event()
         except h11.RemoteProtocolError as error:
-            self.keep = False
+            self.keep_alive = False
             kind = _ERROR_KINDS.get(
                 HTTPStatus(error.error_status_hint), ErrorKind.BAD_REQUEST
             )
             raise LacewingdockError(kind, str(error)) from error
         return None if event is h11.NEED_DATA else event  # type: ignore[return-value]
 
-    def _check_head(self, request: h11.Request, most: int) -> None:
-        """Refuse a head that is too long, or gives its length in two ways.
+    def _check_head(self, request: h11.Request, max_bytes: int) -> None:
+        """Reject a head that is too long, or has two body lengths.
 
-        The library bounds only heads that come in several reads. Of two
-        lengths, two readers see different ends: what one takes for the body,
-        the other takes for the next request, which nobody sent.
+        h11 limits only heads that arrive in several reads. With both lengths,
+        two servers can disagree on where the body ends: one parses a part of
+        the body as the next request (request smuggling).
 
         Raises:
             LacewingdockError: HEADERS_TOO_LARGE or BAD_REQUEST.
         """
         size = len(request.method) + len(request.target)
         size += sum(len(n) + len(v) + 4 for n, v in request.headers)
-        if size > most:
-            self.keep = False
+        if size > max_bytes:
+            self.keep_alive = False
             raise LacewingdockError(
-                ErrorKind.HEADERS_TOO_LARGE, f"more than {most} bytes"
+                ErrorKind.HEADERS_TOO_LARGE, f"headers exceed {max_bytes} bytes"
             )
         names = {name for name, _ in request.headers}
         if names >= {b"transfer-encoding", b"content-length"}:
-            self.keep = False
+            self.keep_alive = False
             raise LacewingdockError(
                 ErrorKind.BAD_REQUEST,
-                "both Transfer-Encoding and Content-Length",
+                "request has both Transfer-Encoding and Content-Length",
             )
 
-    def _read_body(self, until: float, most: int) -> bytes:
+    def _read_body(self, until: float, max_bytes: int) -> bytes:
         parts: list[bytes] = []
         size = 0
         while True:
@@ -239,53 +247,56 @@
             if isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
                 size += len(event.data)
-                if size > most:
-                    self.keep = False
+                if size > max_bytes:
+                    self.keep_alive = False
                     raise LacewingdockError(
-                        ErrorKind.BODY_TOO_LARGE, f"more than {most} bytes"
+                        ErrorKind.BODY_TOO_LARGE,
+                        f"body exceeds {max_bytes} bytes",
                     )
             elif isinstance(event, h11.EndOfMessage):
                 return b"".join(parts)
             elif event is None:
                 self._receive_body(until)
             else:
-                raise CallerGone
+                raise CallerDisconnected
 
     def _receive_body(self, until: float) -> None:
         if self.parser.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             self._send(go_on)
         if not self._receive(until):
-            self.keep = False
+            self.keep_alive = False
             raise LacewingdockError(
-                ErrorKind.SLOW_CALLER, "the body did not come in time"
+                ErrorKind.SLOW_CALLER,
+                "timed out while reading the request body",
             )
 
     def _receive(self, until: float) -> bool:
-        """Read what comes; return whether something came in time.
+        """Read available bytes; return whether any arrived in time.
 
         Raises:
-            LacewingdockError: SLOW_CALLER, in the middle of a head.
-            CallerGone: The connection broke.
+            LacewingdockError: SLOW_CALLER, if part of a head was received.
+            CallerDisconnected: The connection failed.
         """
         left_s = until - time.monotonic()
         if left_s <= 0 or not self._poll.poll(int(left_s * 1000) + 1):
             if self.parser.trailing_data[0]:
-                self.keep = False
+                self.keep_alive = False
                 raise LacewingdockError(
-                    ErrorKind.SLOW_CALLER, "the head did not come in time"
+                    ErrorKind.SLOW_CALLER,
+                    "timed out while reading the request headers",
                 )
             return False
         try:
             data = self.sock.recv(READ_BYTES)
         except OSError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
         if not data and self.parser.their_state is h11.SEND_BODY:
-            raise CallerGone
+            raise CallerDisconnected
         try:
             self.parser.receive_data(data)
         except h11.RemoteProtocolError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
         return True
 
     def _send(self, *events: h11.Event) -> None:
@@ -294,8 +305,8 @@
             self.sock.settimeout(WRITE_S)
             self.sock.sendall(data)
         except OSError as error:
-            self.keep = False
-            raise CallerGone from error
+            self.keep_alive = False
+            raise CallerDisconnected from error
 
     def _drain(self) -> None:
         self.sock.shutdown(socket.SHUT_WR)
@@ -311,10 +322,11 @@
     limits: CallerLimits,
     answer: Callable[[ServerConnection, ServerRequest], None],
 ) -> None:
-    """Answer the requests of a connection until one side ends it.
+    """Handle the requests of a connection until either side closes it.
 
     Raises:
-        LacewingdockError, CallerGone: As `ServerConnection.read_request`.
+        LacewingdockError, CallerDisconnected: As for
+            `ServerConnection.read_request`.
     """
     connection = ServerConnection(sock)
     try:
--- a/lacewingdock/platform/documents.py
+++ b/lacewingdock/platform/documents.py
@@ -316,7 +316,9 @@
     """
     names = {name for one in found for name in one.keys() - _KNOWN_FIELDS[cls]}
     part = cls.__name__.strip("_").lower()
-    unknown_fields.met(source, sorted(f"{part}.{name}" for name in names))
+    unknown_fields.count_names(
+        source, sorted(f"{part}.{name}" for name in names)
+    )
 
 
 def _invalid_document(stored: StoredObject, detail: str) -> LacewingdockError:
