--- a/lacewingdock/components/answers/__init__.py
+++ b/lacewingdock/components/answers/__init__.py
@@ -87,7 +87,7 @@
         answer.sent_to = link.peer.incarnation
         self._track(answer, link)
         upstream.in_flight.add(1)
-        upstream.sent_since_news += 1
+        upstream.sent_since_report += 1
         attempt.sent_ms = stamp_ms()
         if not link.send(attempt):
             # Part of the frame may have left, but a sidecar runs only whole
--- a/lacewingdock/components/gateway/attempt.py
+++ b/lacewingdock/components/gateway/attempt.py
@@ -17,7 +17,7 @@
 from lacewingdock.exceptions import UpstreamLost
 from lacewingdock.helpers.server_connection import ServerConnection
 from lacewingdock.platform.wire import upstream_headers
-from lacewingdock.world.call import AnswerHead, Call, Sending
+from lacewingdock.world.call import AttemptOptions, Call, ResponseHead
 
 # Longest body of an answer that is not a stream, in bytes.
 MAX_BODY_BYTES: Final = 16 * 1024 * 1024
@@ -32,7 +32,7 @@
 class Whole:
     """The upstream's complete answer was received."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
@@ -181,8 +181,8 @@
         progress: Progress,
         streaming: bool,
         is_withheld: Callable[[], bool],
-        accepts: Callable[[AnswerHead], bool],
-        on_head: Callable[[AnswerHead], None],
+        accepts: Callable[[ResponseHead], bool],
+        on_head: Callable[[ResponseHead], None],
         on_began: Callable[[], None],
         on_pause: Callable[[float], None],
     ) -> None:
@@ -200,10 +200,10 @@
         self.on_began = on_began
         self.on_pause = on_pause
         self.has_begun = False
-        self.head: AnswerHead | None = None
+        self.head: ResponseHead | None = None
         self.began_at = 0.0
 
-    def run(self, sending: Sending) -> Result:
+    def run(self, sending: AttemptOptions) -> Result:
         """Make the attempt.
 
         Raises:
@@ -219,7 +219,7 @@
             # The reason arose while the connection was opened.
             connection.close()
             return NotRun("withheld", reached=False, withheld=True)
-        head: AnswerHead | None = None
+        head: ResponseHead | None = None
         try:
             result, head = self._exchange(connection, sending)
         except UpstreamLost as error:
@@ -232,7 +232,7 @@
                 connection.close()
         if head is not None:
             self.pool.give_back(
-                self.instance.entry, connection, head.keep_s, head.closes
+                self.instance.entry, connection, head.keep_alive_s, head.closes
             )
         return result
 
@@ -243,8 +243,8 @@
             self.on_began()
 
     def _exchange(
-        self, connection: UpstreamConnection, sending: Sending
-    ) -> tuple[Result, AnswerHead | None]:
+        self, connection: UpstreamConnection, sending: AttemptOptions
+    ) -> tuple[Result, ResponseHead | None]:
         """Send the request and read the answer.
 
         Returns:
@@ -266,7 +266,7 @@
             connection, self.timeouts.head, connection.read_head
         )
         self.head = head
-        if not head.is_by_other(self.instance.entry.id):
+        if not head.is_from_other_instance(self.instance.entry.id):
             # Bytes of another instance do not show that this one is alive.
             self.instance.heard_at = connection.heard_at
         self.began_at = time.monotonic()
@@ -287,15 +287,15 @@
         body = connection.read_whole(self.timeouts.end, MAX_BODY_BYTES)
         return Whole(head, body), head
 
-    def _not_run(self, head: AnswerHead) -> NotRun:
+    def _not_run(self, head: ResponseHead) -> NotRun:
         """Return the result of a request that the upstream refused to run."""
         if head.instance and head.instance != self.instance.entry.id:
             return NotRun("replaced", reached=True, replaced_by=head.instance)
         return NotRun("refused", reached=True)
 
     def _relay(
-        self, connection: UpstreamConnection, head: AnswerHead
-    ) -> tuple[Result, AnswerHead | None]:
+        self, connection: UpstreamConnection, head: ResponseHead
+    ) -> tuple[Result, ResponseHead | None]:
         """Pass a stream on to the caller in complete events."""
         splitter = EventSplitter()
         timeout = self.timeouts.head
@@ -323,7 +323,7 @@
         return Streamed(), head
 
     def _pass_on(
-        self, head: AnswerHead, splitter: EventSplitter, data: bytes
+        self, head: ResponseHead, splitter: EventSplitter, data: bytes
     ) -> None:
         events = splitter.append(data)
         if not events:
--- a/lacewingdock/components/gateway/attempt_log.py
+++ b/lacewingdock/components/gateway/attempt_log.py
@@ -6,7 +6,7 @@
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.instance import Instance
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.world.call import AnswerHead, Call
+from lacewingdock.world.call import Call, ResponseHead
 
 log = get_logger("gateway")
 
@@ -17,7 +17,7 @@
     model: str,
     instance: Instance,
     result: Result,
-    head: AnswerHead | None,
+    head: ResponseHead | None,
     seconds: float,
 ) -> None:
     """Log an attempt with the load figures of its instance.
--- a/lacewingdock/components/gateway/cascade.py
+++ b/lacewingdock/components/gateway/cascade.py
@@ -13,7 +13,7 @@
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.instance import Instance
 from lacewingdock.helpers.log import get_logger
-from lacewingdock.world.call import AnswerHead, Call
+from lacewingdock.world.call import Call, ResponseHead
 from lacewingdock.world.route import Repeat, Route
 
 # Attempts of a request where the largest model is asked after a smaller one.
@@ -84,7 +84,7 @@
         """Return whether no larger model can be asked."""
         return not self.model or self.model == self.route.models[-1]
 
-    def accepts(self, head: AnswerHead, attempts: int) -> bool:
+    def accepts(self, head: ResponseHead, attempts: int) -> bool:
         """Return whether an answer is accepted, by the confidence in its head.
 
         A rejected answer takes one retry from the retry budget; without a
--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -52,7 +52,7 @@
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.server_connection import CallerGone, ServerConnection
-from lacewingdock.world.call import Call, Sending
+from lacewingdock.world.call import AttemptOptions, Call
 from lacewingdock.world.route import Caller, Repeat, Route, RoutingTable
 
 # Attempts of one request that reach no upstream before it is given up, as no
@@ -191,10 +191,10 @@
                     ErrorKind.UNAUTHORIZED,
                     f"unknown API key in configuration {table.version}",
                 )
-        patience_s = route.timeout_s
-        if call.patience_s is not None:
-            patience_s = min(patience_s, call.patience_s)
-        self.end = self.started + patience_s
+        caller_timeout_s = route.timeout_s
+        if call.caller_timeout_s is not None:
+            caller_timeout_s = min(caller_timeout_s, call.caller_timeout_s)
+        self.end = self.started + caller_timeout_s
         if self.gateway.suspects.holds(call, self.workspace):
             raise repeats_crash_error()
         self.service = self._service()
@@ -338,7 +338,7 @@
             lambda: self.gateway.chooser.began(instance, unread),
             self.gateway.pressure(self.service).slowdown.paused,
         )
-        sending = Sending(
+        sending = AttemptOptions(
             instance=instance.entry.id,
             workspace=self.workspace,
             left_s=max(self.end - start, 0.001),
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -22,7 +22,7 @@
 from lacewingdock.helpers.server_connection import ServerConnection
 from lacewingdock.helpers.unknown_names import UnknownNames
 from lacewingdock.platform.wire import refusal_headers
-from lacewingdock.world.call import AnswerHead, Call
+from lacewingdock.world.call import Call, ResponseHead
 
 log = get_logger("gateway")
 
@@ -114,7 +114,7 @@
         return self.pressures.setdefault(service, Pressure())
 
     def record_head(
-        self, instance: Instance, head: AnswerHead, sent_at: float
+        self, instance: Instance, head: ResponseHead, sent_at: float
     ) -> None:
         """Record what the head of an answer reports about its instance.
 
@@ -124,7 +124,7 @@
             sent_at: Monotonic time at which the request was sent.
         """
         entry = instance.entry
-        if not head.is_by_other(entry.id):
+        if not head.is_from_other_instance(entry.id):
             instance.answered(sent_at)
         memory = self.chooser.directory.signals
         if memory.answered(entry, instance.signals, head, sent_at):
--- a/lacewingdock/components/host_watch.py
+++ b/lacewingdock/components/host_watch.py
@@ -52,7 +52,7 @@
             self._tell_fault(error.detail, asked=asked)
             return
         self.text, self.fault = text, ""
-        taken, fixed = self.host.take(found)
+        taken, fixed = self.host.apply_changes(found)
         log.info(
             "settings read again", asked=asked, taken=taken, need_restart=fixed
         )
--- a/lacewingdock/components/membership/__init__.py
+++ b/lacewingdock/components/membership/__init__.py
@@ -154,7 +154,7 @@
         for instance in self.instances:
             if instance.name == name and instance.role == ROLE_SIDECAR:
                 upstream = self.upstreams[name] = Upstream(instance)
-                upstream.guest = True
+                upstream.resume_only = True
                 self.daemon.spawn(self._keep_link, upstream)
                 return upstream
         return None
@@ -168,12 +168,12 @@
         """
         upstream = self.upstreams.get(name)
         if upstream is not None and not upstream.linked:
-            upstream.needed.set()
+            upstream.dial_now.set()
 
     def release(self, upstream: Upstream) -> None:
         """Let the link to a guest go once no answer needs it."""
         with self._guests:
-            if upstream.guest and upstream.in_flight.value == 0:
+            if upstream.resume_only and upstream.in_flight.value == 0:
                 self._forget(upstream)
 
     def _keep_up(self) -> None:
@@ -255,7 +255,7 @@
         known = self.upstreams.get(instance.name)
         if known and known.instance.address == instance.address:
             known.instance = instance
-            known.guest = False
+            known.resume_only = False
             return
         if known:
             self._retire(known)
@@ -269,13 +269,13 @@
         its replacement is listed already.
         """
         with self._guests:
-            upstream.guest, upstream.wanted = True, False
+            upstream.resume_only, upstream.keep_linked = True, False
             if upstream.in_flight.value == 0:
                 self._forget(upstream)
 
     def _forget(self, upstream: Upstream) -> None:
-        upstream.wanted = False
-        upstream.needed.set()
+        upstream.keep_linked = False
+        upstream.dial_now.set()
         if self.upstreams.get(upstream.name) is upstream:
             del self.upstreams[upstream.name]
         if upstream.link is not None:
@@ -284,7 +284,7 @@
     def _keep_link(self, upstream: Upstream) -> None:
         """Keep one link open: dial, read to its end, dial again."""
         pause = REDIAL_MIN_S
-        while upstream.wanted and not self.daemon.stopping.is_set():
+        while upstream.keep_linked and not self.daemon.stopping.is_set():
             start = time.monotonic()
             try:
                 self.peers.hold(upstream.instance.address)
@@ -295,8 +295,8 @@
                 log.debug("not linked", peer=upstream.name, error=str(error))
             if time.monotonic() - start > REDIAL_MAX_S:
                 pause = REDIAL_MIN_S
-            if upstream.needed.wait(pause * self.daemon.random.random()):
-                upstream.needed.clear()
+            if upstream.dial_now.wait(pause * self.daemon.random.random()):
+                upstream.dial_now.clear()
                 pause = REDIAL_MIN_S
             else:
                 pause = min(pause * 2, REDIAL_MAX_S)
@@ -315,7 +315,7 @@
     def _on_news(self, link: Link, message: Status | Beat) -> None:
         upstream = self.upstreams.get(link.peer.instance)
         if upstream is not None:
-            upstream.take_news(message)
+            upstream.update_load(message)
 
     def unload(self) -> None:
         """Let every link go."""
--- a/lacewingdock/components/reports/burn.py
+++ b/lacewingdock/components/reports/burn.py
@@ -19,7 +19,7 @@
     WINDOWS,
 )
 from lacewingdock.components.reports.samples import Counts, Sample, increase
-from lacewingdock.exceptions import ANSWERS, ErrorKind
+from lacewingdock.exceptions import ERROR_RESPONSES, ErrorKind
 from lacewingdock.world.objects import Objective
 
 SERVER_ERROR: Final = 500
@@ -27,7 +27,7 @@
 _OURS: Final = frozenset({ErrorKind.OVERLOADED, ErrorKind.ANSWER_GONE})
 OUR_FAULTS: Final = frozenset(
     kind
-    for kind, answer in ANSWERS.items()
+    for kind, answer in ERROR_RESPONSES.items()
     if answer.status >= SERVER_ERROR or kind in _OURS
 )
 
--- a/lacewingdock/components/runs/__init__.py
+++ b/lacewingdock/components/runs/__init__.py
@@ -34,7 +34,7 @@
     Resume,
     Status,
 )
-from lacewingdock.links.refusals import refusal_of
+from lacewingdock.links.refusals import build_refusal
 from lacewingdock.settings import SidecarSettings
 from lacewingdock.world.run import Run
 
@@ -184,7 +184,7 @@
                 run.refuse(_never_came(attempt.attempt))
             case first if first is run:
                 run.attach(link, attempt.attempt, 0)
-                late_s = link.delay.of(attempt.sent_ms)
+                late_s = link.delay.estimate_s(attempt.sent_ms)
                 self.daemon.spawn(self._serve, run, link, late_s)
             case first:
                 # The frame came twice; the id of another workspace's attempt
@@ -320,7 +320,7 @@
         while not done:
             alone = self.quarantine.check(fingerprint) is Verdict.SUSPECT
             with self.slots.hold(
-                attempt.priority, run.deadline, alone, run.let_cancel
+                attempt.priority, run.deadline, alone, run.set_cancel_hook
             ):
                 done = self._run(run, fingerprint, alone)
 
@@ -338,7 +338,7 @@
             raise LacewingdockError(
                 ErrorKind.DEADLINE, "nobody waits any more", RAN_NO
             )
-        if run.is_given_up():
+        if run.is_abandoned():
             raise self._not_begun(run, "its entry has turned elsewhere")
         if suspect != alone:
             return False
@@ -361,13 +361,13 @@
     def _follow(self, run: Run, first: Run) -> None:
         """Give a repeated request the answer of the run it repeats."""
         self.shelf.alias(run.attempt.attempt, first)
-        run.hand_over(first)
+        run.transfer_subscribers(first)
 
     def _on_resume(self, link: Link, resume: Resume) -> None:
         run = self.shelf.get(resume.original)
         if run is None:
             error = self._judge_unknown(resume)
-            link.send(refusal_of(resume.attempt, error))
+            link.send(build_refusal(resume.attempt, error))
             return
         self._send_rest(
             link, resume.attempt, resume.workspace, run, resume.offset
@@ -411,7 +411,7 @@
                 "this sidecar has no such answer",
                 RAN_UNKNOWN,
             )
-            link.send(refusal_of(attempt, error))
+            link.send(build_refusal(attempt, error))
             return
         # The entry gave its old link up; here that link may look open for long,
         # and would count as somebody who waits.
@@ -430,11 +430,11 @@
             return
         attempt = run.attempt
         if cancel.ended:
-            run.fetched = True
+            run.end_delivered = True
             self.shelf.release(run)
         elif cancel.keep or attempt.resumable:
-            run.kept = True
-        elif attempt.repeatable and not run.watchers:
+            run.resume_announced = True
+        elif attempt.repeatable and not run.subscribers:
             run.caller_left = cancel.left
             run.cancel()
 
@@ -442,15 +442,17 @@
         """Tell of an attempt that was given up once it can't run any more."""
         if run is None:
             if self.shelf.fence(attempt):
-                link.send(refusal_of(attempt, _never_came(attempt)))
+                link.send(build_refusal(attempt, _never_came(attempt)))
             return
         # The link that the entry gave up may still look open here.
         run.detach_peer(link)
         if run.outcome is not None:
             ran = RAN_UNKNOWN if run.executed else RAN_NO
             error = LacewingdockError(ErrorKind.NO_UPSTREAM, "it ended", ran)
-            link.send(refusal_of(attempt, error))
-        elif run.attempt.repeatable and not (run.kept or run.watchers):
+            link.send(build_refusal(attempt, error))
+        elif run.attempt.repeatable and not (
+            run.resume_announced or run.subscribers
+        ):
             run.cancel()
 
     def _on_close(self, link: Link) -> None:
--- a/lacewingdock/components/runs/shelf.py
+++ b/lacewingdock/components/runs/shelf.py
@@ -105,23 +105,23 @@
         """
         if run.outcome is None:
             return True
-        if run.fetched or run.evicted or run.cancelled.is_set():
+        if run.end_delivered or run.evicted or run.cancelled.is_set():
             return False
-        can_return = run.attempt.resumable or run.kept
+        can_return = run.attempt.resumable or run.resume_announced
         wait_s = self.resume_s if can_return else self.orphan_s
-        return now - run.changed < wait_s
+        return now - run.idle_since < wait_s
 
     def sweep(self) -> None:
         """Cancel orphans, forget old answers, keep within the limit."""
         now = self.clock()
         for run in self.runs():
-            if run.outcome is None and not run.watchers:
+            if run.outcome is None and not run.subscribers:
                 self._judge_orphan(run, now)
         with self._lock:
             self._runs = {
                 key: run
                 for key, run in self._runs.items()
-                if run.outcome is None or now - run.changed < self.resume_s
+                if run.outcome is None or now - run.idle_since < self.resume_s
             }
             self._fences = {
                 key: since
@@ -139,8 +139,8 @@
         attempt = run.attempt
         if attempt.resumable or not attempt.repeatable:
             return
-        wait_s = self.resume_s if run.kept else self.orphan_s
-        if now - run.changed > wait_s:
+        wait_s = self.resume_s if run.resume_announced else self.orphan_s
+        if now - run.idle_since > wait_s:
             run.cancel()
 
     def release(self, run: Run) -> None:
@@ -158,7 +158,7 @@
     def _shrink(self) -> None:
         ended = sorted(
             (r for r in self.runs() if r.outcome is not None),
-            key=lambda r: r.changed,
+            key=lambda r: r.idle_since,
         )
         total = sum(run.size for run in ended)
         for run in ended:
--- a/lacewingdock/components/runs/upstream_call.py
+++ b/lacewingdock/components/runs/upstream_call.py
@@ -339,7 +339,7 @@
         # The library asks for a cancel once a second while no byte comes; a
         # shutdown of its socket wakes it at once, and the slot is free.
         sock = socket.socket(address.family, address.socktype, address.protocol)
-        run.let_cancel(lambda: sock.shutdown(socket.SHUT_RDWR))
+        run.set_cancel_hook(lambda: sock.shutdown(socket.SHUT_RDWR))
         return sock
 
     curl.setopt(pycurl.OPENSOCKETFUNCTION, open_socket)
--- a/lacewingdock/components/suspects/address_check.py
+++ b/lacewingdock/components/suspects/address_check.py
@@ -13,7 +13,7 @@
 from lacewingdock.exceptions import UpstreamLost
 from lacewingdock.platform.wire import question_headers
 from lacewingdock.world.backend import UpstreamEntry
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,7 +55,9 @@
         connection.close()
 
 
-def _identify_responder(head: AnswerHead, entry: UpstreamEntry) -> AddressCheck:
-    if head.is_by_other(entry.id):
+def _identify_responder(
+    head: ResponseHead, entry: UpstreamEntry
+) -> AddressCheck:
+    if head.is_from_other_instance(entry.id):
         return AddressCheck(Responder.ANOTHER, head.instance)
     return AddressCheck(Responder.ITSELF)
--- a/lacewingdock/components/upstreams/connection.py
+++ b/lacewingdock/components/upstreams/connection.py
@@ -12,7 +12,7 @@
 from lacewingdock.exceptions import UpstreamLost
 from lacewingdock.helpers.sockets import has_left
 from lacewingdock.platform.wire import read_answer
-from lacewingdock.world.call import AnswerHead, Headers
+from lacewingdock.world.call import Headers, ResponseHead
 
 # Read at once at most: a link's usual window, so that one read takes what came.
 READ_BYTES: Final = 64 * 1024
@@ -42,7 +42,7 @@
         sock: The socket.
         parser: State of the protocol.
         idle_since: Monotonic time at which it was last put aside.
-        keep_s: Seconds that it may be kept idle.
+        keep_alive_s: Seconds that it may be kept idle.
         heard_at: Monotonic time of the last bytes that came.
         ended: Whether the upstream closed or reset it.
     """
@@ -55,15 +55,15 @@
         "ended",
         "heard_at",
         "idle_since",
-        "keep_s",
+        "keep_alive_s",
         "parser",
         "sock",
     )
 
-    def __init__(self, sock: socket.socket, keep_s: float) -> None:
+    def __init__(self, sock: socket.socket, keep_alive_s: float) -> None:
         """Take a connected socket."""
         self.sock = sock
-        self.keep_s = keep_s
+        self.keep_alive_s = keep_alive_s
         self.idle_since = time.monotonic()
         self.heard_at = 0.0
         self.ended = False
@@ -81,7 +81,7 @@
         to be sent.
         """
         idle_s = time.monotonic() - self.idle_since
-        return idle_s < self.keep_s and not self._poll.poll(0)
+        return idle_s < self.keep_alive_s and not self._poll.poll(0)
 
     def send(
         self,
@@ -118,7 +118,7 @@
         if caller is not None:
             self._poll.register(caller, select.POLLIN)
 
-    def read_head(self, until: float) -> AnswerHead:
+    def read_head(self, until: float) -> ResponseHead:
         """Read the head of the answer, passing over what is not its own.
 
         An upstream may send a second answer to an earlier request. It comes
--- a/lacewingdock/components/upstreams/pool.py
+++ b/lacewingdock/components/upstreams/pool.py
@@ -56,7 +56,7 @@
         self,
         entry: UpstreamEntry,
         connection: UpstreamConnection,
-        keep_s: float | None,
+        keep_alive_s: float | None,
         closes: bool,
     ) -> None:
         """Keep a connection for another request if it is fit for one.
@@ -64,13 +64,15 @@
         Args:
             entry: The instance.
             connection: The connection.
-            keep_s: Seconds that the upstream keeps it; None if not said.
+            keep_alive_s: Seconds that the upstream keeps it; None if not said.
             closes: Whether the upstream closes it.
         """
         if closes or not connection.rest():
             connection.close()
             return
-        connection.keep_s = KEEP_S if keep_s is None else keep_s - KEEP_MARGIN_S
+        connection.keep_alive_s = (
+            KEEP_S if keep_alive_s is None else keep_alive_s - KEEP_MARGIN_S
+        )
         with self._lock:
             kept = self.idle.setdefault(entry.incarnation, [])
             if len(kept) < MAX_IDLE:
@@ -84,8 +86,8 @@
         with self._lock:
             old = []
             for instance, kept in list(self.idle.items()):
-                fresh = [c for c in kept if now - c.idle_since < c.keep_s]
-                old += [c for c in kept if now - c.idle_since >= c.keep_s]
+                fresh = [c for c in kept if now - c.idle_since < c.keep_alive_s]
+                old += [c for c in kept if now - c.idle_since >= c.keep_alive_s]
                 if fresh:
                     self.idle[instance] = fresh
                 else:
--- a/lacewingdock/components/upstreams/signals.py
+++ b/lacewingdock/components/upstreams/signals.py
@@ -26,7 +26,7 @@
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.recent import remember
 from lacewingdock.world.backend import UpstreamEntry
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 
 # Starts of instances that are remembered; more than a fleet has.
 MAX_REMEMBERED: Final = 16_384
@@ -97,7 +97,7 @@
         self,
         entry: UpstreamEntry,
         signals: Signals,
-        head: AnswerHead,
+        head: ResponseHead,
         sent_at: float,
     ) -> bool:
         """Take what an answer says of its instance.
@@ -161,16 +161,16 @@
         _log_limit(entry, limit, now, router)
 
     def _take_limit(
-        self, limit: Limit, head: AnswerHead, sent_at: float, now: float
+        self, limit: Limit, head: ResponseHead, sent_at: float, now: float
     ) -> None:
         if head.limit_per_s is not None:
             self.limits_named += limit.at(now) is None
             limit.named(head.limit_per_s, sent_at, now)
-        elif _is_own(head) and not head.limit_unread:
+        elif _is_own(head) and not head.limit_malformed:
             limit.named_none(sent_at)
 
     def _take_rest(
-        self, rest: Rest, head: AnswerHead, sent_at: float, now: float
+        self, rest: Rest, head: ResponseHead, sent_at: float, now: float
     ) -> bool:
         """Take what an answer says of a rest; return whether one begins."""
         if head.rest_s is None:
@@ -184,7 +184,7 @@
         return begins
 
 
-def _is_own(head: AnswerHead) -> bool:
+def _is_own(head: ResponseHead) -> bool:
     """Whether an answer shows how its instance serves.
 
     Who did not run a request need not have come to the point of saying so, and
--- a/lacewingdock/core.py
+++ b/lacewingdock/core.py
@@ -24,7 +24,7 @@
 from lacewingdock.settings import DaemonSettings, EntrySettings
 
 MAX_TASKS: Final = 4096
-LEAVE_POLL_S: Final = 0.05
+DRAIN_POLL_S: Final = 0.05
 
 log = get_logger("core")
 
@@ -153,7 +153,7 @@
         # then must still be served.
         time.sleep(min(self.settings.linger_s, self.settings.grace_s))
         while time.monotonic() < end and drain():
-            time.sleep(LEAVE_POLL_S)
+            time.sleep(DRAIN_POLL_S)
         return drain()
 
     def stop(self) -> None:
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -96,7 +96,7 @@
 # What a stop leaves of the grace time for ending the process.
 GRACE_MARGIN_S: Final = 0.6
 # How often a stop looks whether its last requests have ended.
-LEAVE_POLL_S: Final = 0.05
+DRAIN_POLL_S: Final = 0.05
 # How often idle connections are pruned and the part of the retries is taken
 # anew, which `FleetBudget` counts in seconds.
 HOUSEKEEPING_S: Final = 1.0
@@ -306,7 +306,7 @@
         time.sleep(min(LINGER_S, self.host.bounds.grace_s / 2))
         self.callers.shut()
         while time.monotonic() < end and self.callers.active.value:
-            time.sleep(LEAVE_POLL_S)
+            time.sleep(DRAIN_POLL_S)
         left = self.callers.active.value
         self.stopping.set()
         log.info("stopped", requests_left=left)
--- a/lacewingdock/exceptions.py
+++ b/lacewingdock/exceptions.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class ErrorResponse:
     """What one error kind tells a caller or an operator.
 
     Attributes:
@@ -67,90 +67,100 @@
     exit_status: int = 1
 
 
-ANSWERS: Final[dict[ErrorKind, Answer]] = {
-    ErrorKind.ANSWER_GONE: Answer(
+ERROR_RESPONSES: Final[dict[ErrorKind, ErrorResponse]] = {
+    ErrorKind.ANSWER_GONE: ErrorResponse(
         410, "The answer is no longer kept", ran=RAN_YES
     ),
-    ErrorKind.BAD_COMMAND: Answer(
+    ErrorKind.BAD_COMMAND: ErrorResponse(
         400, "The command is not understood", exit_status=2
     ),
-    ErrorKind.BAD_LINK: Answer(
+    ErrorKind.BAD_LINK: ErrorResponse(
         400, "The peer's frame or key was refused", exit_status=2
     ),
-    ErrorKind.BAD_MANIFEST: Answer(
+    ErrorKind.BAD_MANIFEST: ErrorResponse(
         422, "The configuration has faults", exit_status=2
     ),
-    ErrorKind.BAD_REQUEST: Answer(400, "The request is malformed"),
-    ErrorKind.BAD_SETTING: Answer(
+    ErrorKind.BAD_REQUEST: ErrorResponse(400, "The request is malformed"),
+    ErrorKind.BAD_SETTING: ErrorResponse(
         500, "The settings have faults", exit_status=2
     ),
-    ErrorKind.BAD_TOKEN: Answer(400, "The session token is not valid"),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, "The body is too large"),
-    ErrorKind.BUDGET_EXHAUSTED: Answer(
+    ErrorKind.BAD_TOKEN: ErrorResponse(400, "The session token is not valid"),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413, "The body is too large"),
+    ErrorKind.BUDGET_EXHAUSTED: ErrorResponse(
         429, "The workspace's budget is used up", retry_after_s=60.0
     ),
     # Nobody reads this answer; its row is for the log.
-    ErrorKind.CALLER_LEFT: Answer(
+    ErrorKind.CALLER_LEFT: ErrorResponse(
         499, "The caller closed its connection", ran=RAN_UNKNOWN
     ),
-    ErrorKind.CONFLICT: Answer(409, "Another change came first"),
-    ErrorKind.DEADLINE: Answer(
+    ErrorKind.CONFLICT: ErrorResponse(409, "Another change came first"),
+    ErrorKind.DEADLINE: ErrorResponse(
         504, "The deadline passed", ran=RAN_UNKNOWN, retry_after_s=1.0
     ),
-    ErrorKind.FENCED: Answer(409, "The order is an earlier holder's"),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(
+    ErrorKind.FENCED: ErrorResponse(409, "The order is an earlier holder's"),
+    ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(
         431, "The request line or the headers are too large"
     ),
-    ErrorKind.INTERNAL: Answer(500, "Internal error", ran=RAN_UNKNOWN),
-    ErrorKind.KEY_REQUIRED: Answer(400, "This call needs an Idempotency-Key"),
-    ErrorKind.KEY_REUSED: Answer(
+    ErrorKind.INTERNAL: ErrorResponse(500, "Internal error", ran=RAN_UNKNOWN),
+    ErrorKind.KEY_REQUIRED: ErrorResponse(
+        400, "This call needs an Idempotency-Key"
+    ),
+    ErrorKind.KEY_REUSED: ErrorResponse(
         422, "The Idempotency-Key was used with another body"
     ),
-    ErrorKind.LEAVING: Answer(
+    ErrorKind.LEAVING: ErrorResponse(
         503, "This instance is stopping", retry_after_s=0.1
     ),
-    ErrorKind.MODEL_NOT_ALLOWED: Answer(
+    ErrorKind.MODEL_NOT_ALLOWED: ErrorResponse(
         403, "The workspace does not allow this model"
     ),
-    ErrorKind.NOT_FOUND: Answer(404, "Nothing is at this path"),
-    ErrorKind.NOT_HOME: Answer(
+    ErrorKind.NOT_FOUND: ErrorResponse(404, "Nothing is at this path"),
+    ErrorKind.NOT_HOME: ErrorResponse(
         503, "The key's home is changing", retry_after_s=0.5
     ),
-    ErrorKind.NOT_READY: Answer(
+    ErrorKind.NOT_READY: ErrorResponse(
         503, "This instance is not ready", retry_after_s=1.0
     ),
-    ErrorKind.NO_UPSTREAM: Answer(
+    ErrorKind.NO_UPSTREAM: ErrorResponse(
         503, "No upstream can take the request", retry_after_s=1.0
     ),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
         502, "Whether the request ran is not known", ran=RAN_UNKNOWN
     ),
-    ErrorKind.OVERLOADED: Answer(429, "Capacity is used up", retry_after_s=1.0),
-    ErrorKind.PERMISSION_DENIED: Answer(403, "The role does not allow this"),
-    ErrorKind.PLATFORM_UNAVAILABLE: Answer(
+    ErrorKind.OVERLOADED: ErrorResponse(
+        429, "Capacity is used up", retry_after_s=1.0
+    ),
+    ErrorKind.PERMISSION_DENIED: ErrorResponse(
+        403, "The role does not allow this"
+    ),
+    ErrorKind.PLATFORM_UNAVAILABLE: ErrorResponse(
         503, "The platform's store does not answer", retry_after_s=2.0
     ),
-    ErrorKind.PORT_TAKEN: Answer(
+    ErrorKind.PORT_TAKEN: ErrorResponse(
         500, "A port is already in use", exit_status=3
     ),
-    ErrorKind.QUARANTINED: Answer(
+    ErrorKind.QUARANTINED: ErrorResponse(
         422, "This request crashed upstreams and is quarantined"
     ),
-    ErrorKind.REPEATS_CRASH: Answer(
+    ErrorKind.REPEATS_CRASH: ErrorResponse(
         429,
         "This request crashed upstreams each time, and is not run for now",
         retry_after_s=60.0,
     ),
-    ErrorKind.SLOW_CALLER: Answer(
+    ErrorKind.SLOW_CALLER: ErrorResponse(
         408, "The request did not come in time", retry_after_s=1.0
     ),
-    ErrorKind.UNAUTHORIZED: Answer(401, "The workspace key is not valid"),
-    ErrorKind.UNKNOWN_MODEL: Answer(404, "No such model"),
-    ErrorKind.UNKNOWN_SERVICE: Answer(404, "No such service or operation"),
-    ErrorKind.UPSTREAM_FAILED: Answer(
+    ErrorKind.UNAUTHORIZED: ErrorResponse(
+        401, "The workspace key is not valid"
+    ),
+    ErrorKind.UNKNOWN_MODEL: ErrorResponse(404, "No such model"),
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(
+        404, "No such service or operation"
+    ),
+    ErrorKind.UPSTREAM_FAILED: ErrorResponse(
         502, "The upstream failed", ran=RAN_UNKNOWN, retry_after_s=1.0
     ),
-    ErrorKind.VERSION_WITHDRAWN: Answer(
+    ErrorKind.VERSION_WITHDRAWN: ErrorResponse(
         409, "The version was withdrawn", retry_after_s=0.1
     ),
 }
@@ -178,7 +188,7 @@
     ) -> None:
         """Take kind and detail; the rest defaults to the kind's answer."""
         super().__init__(f"{kind}: {detail}")
-        answer = ANSWERS[kind]
+        answer = ERROR_RESPONSES[kind]
         self.kind = kind
         self.detail = detail
         self.ran = answer.ran if ran is None else ran
@@ -188,9 +198,9 @@
         )
 
     @property
-    def answer(self) -> Answer:
+    def answer(self) -> ErrorResponse:
         """The kind's row in `ANSWERS`."""
-        return ANSWERS[self.kind]
+        return ERROR_RESPONSES[self.kind]
 
 
 class UpstreamLost(LacewingdockError):
--- a/lacewingdock/helpers/command.py
+++ b/lacewingdock/helpers/command.py
@@ -10,7 +10,7 @@
 
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.describe import describe
-from lacewingdock.settings import SECRETS, variable
+from lacewingdock.settings import SECRET_SETTINGS, variable_name
 
 WIDTH: Final = 78
 _INDENT: Final = "      "
@@ -66,9 +66,9 @@
         ]
     for cls in settings:
         for setting in describe(cls):
-            names = f"--{setting.name}  ({variable(setting.name)})"
-            if setting.name in SECRETS:
-                names = variable(setting.name)
+            names = f"--{setting.name}  ({variable_name(setting.name)})"
+            if setting.name in SECRET_SETTINGS:
+                names = variable_name(setting.name)
             lines += ["", f"  {names}"]
             lines += textwrap.wrap(
                 setting.meaning,
--- a/lacewingdock/helpers/reference.py
+++ b/lacewingdock/helpers/reference.py
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from lacewingdock.daemons.router_timing import propagation_paths
-from lacewingdock.exceptions import ANSWERS, ErrorKind
+from lacewingdock.exceptions import ERROR_RESPONSES, ErrorKind
 from lacewingdock.helpers.describe import Setting, describe
 from lacewingdock.helpers.source_tables import (
     constant_table,
@@ -17,12 +17,12 @@
 )
 from lacewingdock.settings import (
     OTHER_SETTINGS,
-    SECRETS,
+    SECRET_SETTINGS,
     ClientSettings,
     DaemonSettings,
     EntrySettings,
     SidecarSettings,
-    variable,
+    variable_name,
 )
 from lacewingdock.world.host import Bounds
 from lacewingdock.world.objects import Objective, Operation, Step
@@ -74,8 +74,8 @@
         ("flag", "variable", "meaning", "allowed", "default"),
         [
             (
-                "-" if s.name in SECRETS else f"`--{s.name}`",
-                f"`{variable(s.name)}`",
+                "-" if s.name in SECRET_SETTINGS else f"`--{s.name}`",
+                f"`{variable_name(s.name)}`",
                 s.meaning,
                 s.allowed,
                 _default(s),
@@ -131,7 +131,7 @@
                 str(answer.exit_status),
                 answer.title,
             )
-            for kind, answer in ((k, ANSWERS[k]) for k in ErrorKind)
+            for kind, answer in ((k, ERROR_RESPONSES[k]) for k in ErrorKind)
         ],
     )
 
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -54,7 +54,7 @@
     World,
 )
 from lacewingdock.world import host
-from lacewingdock.world.call import AnswerHead, Call
+from lacewingdock.world.call import Call, ResponseHead
 from lacewingdock.world.route import Repeat, Route, ServiceLimits, Target
 
 SERVICE: Final = "engines"
@@ -349,7 +349,7 @@
         progress.tried.append(instance.entry.incarnation)
         sent_at = env.now
         if not engine.submit(run):
-            head = AnswerHead(503, [], not_run=True, rest_s=engine.rest_s)
+            head = ResponseHead(503, [], not_run=True, rest_s=engine.rest_s)
             self._answered(instance, engine, head, sent_at)
             instance.failed(0.5)
             return End.LOST
@@ -362,7 +362,7 @@
             engine.cancel(run)
             self._broken(cascade, instance, timed_out=not run.began.triggered)
             return End.LOST
-        head = AnswerHead(
+        head = ResponseHead(
             200,
             [],
             sealed=True,
@@ -390,7 +390,7 @@
         self,
         instance: Instance,
         engine: Engine,
-        head: AnswerHead,
+        head: ResponseHead,
         sent_at: float,
     ) -> None:
         """Take what an engine says of itself in an answer."""
@@ -429,7 +429,7 @@
         return End.LOST
 
     def _accepts(
-        self, cascade: Cascade, head: AnswerHead, progress: _Progress
+        self, cascade: Cascade, head: ResponseHead, progress: _Progress
     ) -> bool:
         if self.world.policy.first is not FirstModel.CASCADE:
             return True
--- a/lacewingdock/links/delay.py
+++ b/lacewingdock/links/delay.py
@@ -15,7 +15,7 @@
 _UNKNOWN: Final = float("inf")
 
 
-class Delay:
+class DelayEstimator:
     """The delay of one peer's frames, without that of the fastest one."""
 
     __slots__ = ("_before", "_began", "_least")
@@ -25,7 +25,7 @@
         self._before = self._least = _UNKNOWN
         self._began = since_boot()
 
-    def note(self, sent_ms: int) -> None:
+    def record_stamp(self, sent_ms: int) -> None:
         """Take the stamp of a frame that was just read; 0 is none."""
         if not sent_ms:
             return
@@ -35,7 +35,7 @@
             self._began = now
         self._least = min(self._least, now - sent_ms / MS_PER_S)
 
-    def of(self, sent_ms: int) -> float:
+    def estimate_s(self, sent_ms: int) -> float:
         """Return how many seconds ago a frame should have been here.
 
         Args:
--- a/lacewingdock/links/handshake.py
+++ b/lacewingdock/links/handshake.py
@@ -139,7 +139,7 @@
             ErrorKind.BAD_LINK, f"{peer.instance} does not hold a link key"
         )
     link = Link(sock, peer)
-    link.delay.note(proof.sent_ms)
+    link.delay.record_stamp(proof.sent_ms)
     return link
 
 
--- a/lacewingdock/links/link.py
+++ b/lacewingdock/links/link.py
@@ -19,7 +19,7 @@
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.clock import since_boot
 from lacewingdock.helpers.tally import Tally
-from lacewingdock.links.delay import Delay
+from lacewingdock.links.delay import DelayEstimator
 from lacewingdock.links.messages import Attempt, Beat, Hello, Message
 from lacewingdock.links.wire import LENGTH_BYTES, decode, encode
 
@@ -110,7 +110,7 @@
         "closed",
         "delay",
         "last_beat",
-        "last_heard",
+        "last_received",
         "last_sent",
         "peer",
         "reason",
@@ -124,13 +124,13 @@
         self.sock = sock
         self.peer = peer
         self.busy = Tally()
-        self.last_heard = self.last_sent = time.monotonic()
-        self.last_beat = self.last_heard
-        self.busy_since = self.last_heard
+        self.last_received = self.last_sent = time.monotonic()
+        self.last_beat = self.last_received
+        self.busy_since = self.last_received
         self.closed = False
         self.reason = ""
         self.traffic = Traffic()
-        self.delay = Delay()
+        self.delay = DelayEstimator()
         self._spoke_at = self._owes_since = since_boot()
         self._lapsed_at = 0.0
         self.spawn: Spawn | None = None
@@ -165,8 +165,8 @@
         and give a healthy one up; so the count starts with the work.
         """
         if self.busy.value > 0:
-            return now - max(self.last_heard, self.busy_since)
-        return now - self.last_heard
+            return now - max(self.last_received, self.busy_since)
+        return now - self.last_received
 
     def lapsed_since(self, since: float) -> bool:
         """Tell whether the peer may have given this end up as silent.
@@ -271,7 +271,7 @@
                 self.backlog_bytes -= len(data)
                 self._room.notify_all()
 
-    def wait_room(self) -> bool:
+    def wait_for_room(self) -> bool:
         """Wait until bulk may be sent; return False when the link closed."""
         with self._room:
             while not self.closed and self.backlog_bytes > BULK_BACKLOG_BYTES:
@@ -317,13 +317,13 @@
             if not data:
                 self.close("peer closed")
                 return
-            self.last_heard = time.monotonic()
+            self.last_received = time.monotonic()
             pending += data
             self.traffic.heard_bytes += len(data)
             for message in _split(pending):
                 self.traffic.heard_messages += 1
                 if isinstance(message, Attempt | Beat):
-                    self.delay.note(message.sent_ms)
+                    self.delay.record_stamp(message.sent_ms)
                 yield message
             if self.busy.value >= GATHER_ANSWERS:
                 time.sleep(GATHER_S)
--- a/lacewingdock/links/refusals.py
+++ b/lacewingdock/links/refusals.py
@@ -5,7 +5,7 @@
 from lacewingdock.links.messages import Refusal
 
 
-def refusal_of(
+def build_refusal(
     attempt: str, error: LacewingdockError, revision: int = 0
 ) -> Refusal:
     """Return the frame that ends an attempt with an error.
--- a/lacewingdock/platform/wire.py
+++ b/lacewingdock/platform/wire.py
@@ -4,7 +4,7 @@
 import re
 from typing import Final
 
-from lacewingdock.world.call import AnswerHead, Call, Headers, Sending
+from lacewingdock.world.call import AttemptOptions, Call, Headers, ResponseHead
 
 CALL_ID: Final = b"attempt-id"
 KEY: Final = b"credential"
@@ -123,7 +123,7 @@
         ],
         key=_text(first.get(KEY, b"")),
         session=_text(first.get(SESSION, b"")),
-        patience_s=_seconds(first.get(PATIENCE)),
+        caller_timeout_s=_seconds(first.get(PATIENCE)),
         last_event=_text(first.get(LAST_EVENT, b"")),
         model=model,
         any_model=model == ANY_MODEL,
@@ -133,7 +133,7 @@
     )
 
 
-def upstream_headers(call: Call, sending: Sending) -> Headers:
+def upstream_headers(call: Call, sending: AttemptOptions) -> Headers:
     """Encode the headers of a call to an upstream."""
     headers = [
         pair
@@ -159,7 +159,7 @@
     return headers
 
 
-def read_answer(status: int, headers: Headers, raw: Headers) -> AnswerHead:
+def read_answer(status: int, headers: Headers, raw: Headers) -> ResponseHead:
     """Decode the head of an upstream's answer; arguments as `read_call`."""
     first = dict(reversed(headers))
     connection = first.get(b"connection", b"").lower()
@@ -174,7 +174,7 @@
         LEAVING: not leaving,
         REST: turned_away and rest_s is None,
     }
-    return AnswerHead(
+    return ResponseHead(
         status=status,
         headers=[
             pair
@@ -189,10 +189,10 @@
         sealed=SEAL in first,
         encoded=encoding not in (b"", b"identity"),
         confidence=_number(first.get(CONFIDENCE)),
-        keep_s=_keep(first.get(b"keep-alive", b"")),
+        keep_alive_s=_keep(first.get(b"keep-alive", b"")),
         closes=b"close" in connection,
         limit_per_s=limit_per_s,
-        limit_unread=LIMIT in first and limit_per_s is None,
+        limit_malformed=LIMIT in first and limit_per_s is None,
         rest_s=rest_s,
         leaving=leaving,
         odd=tuple(
--- a/lacewingdock/settings.py
+++ b/lacewingdock/settings.py
@@ -40,7 +40,7 @@
 Seconds = Annotated[float, Meta(gt=0.0, le=86400.0)]
 
 # Taken from the environment only; flags can be seen by others.
-SECRETS: Final = frozenset({"operator_key"})
+SECRET_SETTINGS: Final = frozenset({"operator_key"})
 
 T = TypeVar("T")
 
@@ -303,12 +303,12 @@
     faults += _unknown_variables(env, known)
     faults += [
         f"--{name}: is a secret, which others on the machine could see;"
-        f" give it as {variable(name)}"
-        for name in SECRETS & flags.keys()
+        f" give it as {variable_name(name)}"
+        for name in SECRET_SETTINGS & flags.keys()
     ]
     values: dict[str, Any] = {}
     for name, setting in known.items():
-        given = flags.get(name, env.get(variable(name)))
+        given = flags.get(name, env.get(variable_name(name)))
         try:
             values[name] = _value(setting, given, hints[name])
         except ValueError as error:
@@ -336,7 +336,7 @@
         raise ValueError(f"--{name}={given!r}: want {allowed(hint)}") from error
 
 
-def variable(name: str) -> str:
+def variable_name(name: str) -> str:
     """Return the environment variable of a setting."""
     return ENV_PREFIX + name.upper()
 
@@ -356,7 +356,7 @@
     names = {*known}
     for cls in (EntrySettings, SidecarSettings, *OTHER_SETTINGS):
         names |= {one.name for one in _fields(cls)}
-    variables = {variable(name) for name in names}
+    variables = {variable_name(name) for name in names}
     return [
         f"{name}: no such setting"
         for name in env
--- a/lacewingdock/world/call.py
+++ b/lacewingdock/world/call.py
@@ -19,7 +19,7 @@
         body: The whole body.
         key: The caller's key; empty for none.
         session: Session that it belongs to; empty for none.
-        patience_s: Seconds that the caller waits; None where not said.
+        caller_timeout_s: Seconds that the caller waits; None where not said.
         last_event: Id of the event that a stream shall go on after.
         model: Model that the caller names; empty for none.
         any_model: Whether the router shall choose the model.
@@ -39,7 +39,7 @@
     body: bytes = b""
     key: str = ""
     session: str = ""
-    patience_s: float | None = None
+    caller_timeout_s: float | None = None
     last_event: str = ""
     model: str = ""
     any_model: bool = False
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Sending:
+class AttemptOptions:
     """What one attempt adds to a call.
 
     Attributes:
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class AnswerHead:
+class ResponseHead:
     """The head of an upstream's answer.
 
     Attributes:
@@ -86,12 +86,12 @@
         sealed: Whether it bears the upstream's signature.
         encoded: Whether the body is not the upstream's own bytes.
         confidence: The model's opinion of its answer, 0 to 100; or None.
-        keep_s: Seconds that the connection stays open idle; None if not
+        keep_alive_s: Seconds that the connection stays open idle; None if not
             said.
         closes: Whether the connection ends with this answer.
         limit_per_s: Requests a second that the instance takes from all
             routers together; None where it names no limit.
-        limit_unread: Whether it names a limit that can't be read.
+        limit_malformed: Whether it names a limit that can't be read.
         rest_s: Seconds for which an instance that turned the call away wants
             none of this router's; None where it does not say.
         leaving: Whether the instance says that it leaves.
@@ -108,16 +108,16 @@
     sealed: bool = False
     encoded: bool = False
     confidence: float | None = None
-    keep_s: float | None = None
+    keep_alive_s: float | None = None
     closes: bool = False
     limit_per_s: float | None = None
-    limit_unread: bool = False
+    limit_malformed: bool = False
     rest_s: float | None = None
     leaving: bool = False
     odd: tuple[str, ...] = ()
     unknown: tuple[str, ...] = ()
 
-    def is_by_other(self, instance: str) -> bool:
+    def is_from_other_instance(self, instance: str) -> bool:
         """Whether another instance answered than the one of an id."""
         if self.instance:
             return self.instance != instance
--- a/lacewingdock/world/host.py
+++ b/lacewingdock/world/host.py
@@ -101,7 +101,9 @@
     max_files: int = 1024
     bounds: Bounds = field(default_factory=Bounds)
 
-    def take(self, found: "HostProfile") -> tuple[list[str], list[str]]:
+    def apply_changes(
+        self, found: "HostProfile"
+    ) -> tuple[list[str], list[str]]:
         """Take what a running router can take of a newer profile.
 
         Whoever holds this profile reads the new values from then on.
--- a/lacewingdock/world/run.py
+++ b/lacewingdock/world/run.py
@@ -12,7 +12,7 @@
 from lacewingdock.helpers.clock import MS_PER_S, since_boot
 from lacewingdock.links.link import Link
 from lacewingdock.links.messages import Attempt, Chunk, Finish, Refusal
-from lacewingdock.links.refusals import refusal_of
+from lacewingdock.links.refusals import build_refusal
 
 # Kept pieces sent in one go before the link is asked whether it has room.
 BATCH_PIECES: Final = 64
@@ -70,19 +70,19 @@
         "before_end",
         "caller_left",
         "cancelled",
-        "changed",
         "chunks",
         "deadline",
+        "end_delivered",
         "evicted",
         "executed",
-        "fetched",
         "first",
-        "kept",
+        "idle_since",
         "lock",
         "on_cancel",
         "outcome",
+        "resume_announced",
         "size",
-        "watchers",
+        "subscribers",
     )
 
     def __init__(self, attempt: Attempt) -> None:
@@ -91,17 +91,17 @@
         self.chunks: list[bytes] = []
         self.size = 0
         self.outcome: Finish | Refusal | None = None
-        self.watchers: list[Watcher] = []
+        self.subscribers: list[Watcher] = []
         self.first: Watcher | None = None
         self.lock = threading.Lock()
         self.cancelled = threading.Event()
         self.on_cancel: Callable[[], object] | None = None
-        self.changed = time.monotonic()
-        self.deadline = self.changed + attempt.deadline_ms / MS_PER_S
+        self.idle_since = time.monotonic()
+        self.deadline = self.idle_since + attempt.deadline_ms / MS_PER_S
         self.executed = False
         self.evicted = False
-        self.kept = False
-        self.fetched = False
+        self.resume_announced = False
+        self.end_delivered = False
         self.caller_left = False
         self.before_end: Callable[[Run, Finish | Refusal], None] | None = None
 
@@ -111,7 +111,7 @@
             offset = len(self.chunks)
             self.chunks.append(data)
             self.size += len(data)
-            for watcher in self.watchers:
+            for watcher in self.subscribers:
                 if watcher.live:
                     watcher.link.send(Chunk(watcher.attempt, offset, data))
 
@@ -123,7 +123,7 @@
 
     def refuse(self, error: LacewingdockError, revision: int = 0) -> None:
         """End the answer with an error, decided at a revision."""
-        refusal = refusal_of(self.attempt.attempt, error, revision)
+        refusal = build_refusal(self.attempt.attempt, error, revision)
         self._call_before_end(refusal)
         with self.lock:
             self._end_locked(refusal)
@@ -133,7 +133,7 @@
         if callback is not None:
             callback(self, outcome)
 
-    def is_given_up(self) -> bool:
+    def is_abandoned(self) -> bool:
         """Tell whether its entry has turned elsewhere before it began.
 
         The entry of a link that was silent for too long has sent the request
@@ -143,9 +143,9 @@
         attempt = self.attempt
         if not attempt.repeatable:
             return False
-        if any(watcher.is_waiting() for watcher in tuple(self.watchers)):
+        if any(watcher.is_waiting() for watcher in tuple(self.subscribers)):
             return False
-        if not (attempt.resumable or self.kept):
+        if not (attempt.resumable or self.resume_announced):
             return True
         # A caller whose entry died may come back for such an answer.
         first = self.first
@@ -159,7 +159,7 @@
             with contextlib.suppress(OSError):
                 hook()
 
-    def let_cancel(self, hook: Callable[[], object]) -> None:
+    def set_cancel_hook(self, hook: Callable[[], object]) -> None:
         """Take what a cancel has to call now."""
         self.on_cancel = hook
         # A cancel that came just before did not see the hook.
@@ -168,8 +168,8 @@
 
     def _end_locked(self, outcome: Finish | Refusal) -> None:
         self.outcome = outcome
-        self.changed = time.monotonic()
-        for watcher in self.watchers:
+        self.idle_since = time.monotonic()
+        for watcher in self.subscribers:
             if watcher.live:
                 self._send_end(watcher)
 
@@ -192,24 +192,24 @@
                 return
             link.begin()
             self.first = self.first or watcher
-            self.watchers.append(watcher)
+            self.subscribers.append(watcher)
         while self._catch_up(watcher, offset):
             offset += BATCH_PIECES
-            if not link.wait_room():
+            if not link.wait_for_room():
                 return
 
     def _catch_up(self, watcher: Watcher, offset: int) -> bool:
         """Send a batch; return whether there is more that is kept."""
         with self.lock:
-            if not any(w is watcher for w in self.watchers):
+            if not any(w is watcher for w in self.subscribers):
                 return False
             if self._is_gone_locked(offset):
                 self._refuse_gone_locked(watcher)
                 return False
-            kept = self.chunks[offset : offset + BATCH_PIECES]
-            for index, data in enumerate(kept, offset):
+            chunks = self.chunks[offset : offset + BATCH_PIECES]
+            for index, data in enumerate(chunks, offset):
                 watcher.link.send(Chunk(watcher.attempt, index, data))
-            if offset + len(kept) < len(self.chunks):
+            if offset + len(chunks) < len(self.chunks):
                 return True
             watcher.live = True
             if self.outcome is not None:
@@ -224,7 +224,7 @@
         return not (isinstance(end, Finish) and offset == end.chunks)
 
     def _refuse_gone_locked(self, watcher: Watcher) -> None:
-        self.watchers = [w for w in self.watchers if w is not watcher]
+        self.subscribers = [w for w in self.subscribers if w is not watcher]
         watcher.link.send(
             Refusal(
                 watcher.attempt,
@@ -240,7 +240,7 @@
         with self.lock:
             gone = [
                 w
-                for w in self.watchers
+                for w in self.subscribers
                 if w.link is link and attempt in (None, w.attempt)
             ]
             if not gone:
@@ -249,25 +249,25 @@
                 # A live watcher of an ended run was counted off at the end.
                 if self.outcome is None or not watcher.live:
                     link.finish()
-            self.watchers = [
-                w for w in self.watchers if not any(w is g for g in gone)
+            self.subscribers = [
+                w for w in self.subscribers if not any(w is g for g in gone)
             ]
-            self.changed = time.monotonic()
+            self.idle_since = time.monotonic()
             return True
 
     def detach_peer(self, link: Link) -> None:
         """Forget the watchers of a peer's other links."""
         peer = link.peer.incarnation
-        for watcher in tuple(self.watchers):
+        for watcher in tuple(self.subscribers):
             if watcher.link is not link and (
                 watcher.link.peer.incarnation == peer
             ):
                 self.detach(watcher.link)
 
-    def hand_over(self, other: "Run") -> None:
+    def transfer_subscribers(self, other: "Run") -> None:
         """Let another run serve this one's watchers, from the start."""
         with self.lock:
-            moved, self.watchers = self.watchers, []
+            moved, self.subscribers = self.subscribers, []
         for watcher in moved:
             watcher.link.finish()
             other.attach(watcher.link, watcher.attempt, 0)
--- a/lacewingdock/world/upstream.py
+++ b/lacewingdock/world/upstream.py
@@ -27,15 +27,15 @@
 
     __slots__ = (
         "_changed",
-        "guest",
+        "dial_now",
         "in_flight",
         "instance",
+        "keep_linked",
         "link",
-        "needed",
         "refused",
-        "sent_since_news",
+        "resume_only",
+        "sent_since_report",
         "status",
-        "wanted",
     )
 
     def __init__(self, instance: Instance) -> None:
@@ -44,11 +44,11 @@
         self.link: Link | None = None
         self.status = Status()
         self.in_flight = Tally()
-        self.sent_since_news = 0
-        self.wanted = True
-        self.guest = False
+        self.sent_since_report = 0
+        self.keep_linked = True
+        self.resume_only = False
         self.refused = False
-        self.needed = threading.Event()
+        self.dial_now = threading.Event()
         self._changed = threading.Condition()
 
     @property
@@ -70,7 +70,7 @@
         """Tell whether it takes work for a target, or would if it spoke."""
         return (
             (self.linked or not self.refused)
-            and not self.guest
+            and not self.resume_only
             and not self.status.leaving
             and self.instance.state == "live"
             and target in self.status.targets
@@ -79,17 +79,17 @@
     def load(self) -> float:
         """Work known to be there, as a part of capacity."""
         status = self.status
-        known = status.running + status.queued + self.sent_since_news
+        known = status.running + status.queued + self.sent_since_report
         return max(known, self.in_flight.value) / max(status.capacity, 1)
 
-    def take_news(self, news: Status | Beat) -> None:
+    def update_load(self, news: Status | Beat) -> None:
         """Take the sidecar's own figures, fresher than any report."""
         if isinstance(news, Status):
             self.status = news
         else:
             self.status.running = news.running
             self.status.queued = news.queued
-        self.sent_since_news = 0
+        self.sent_since_report = 0
 
     def set_link(self, link: Link | None) -> None:
         """Take a new link, or None when it closed."""
--- a/tests/components/answers/test_events.py
+++ b/tests/components/answers/test_events.py
@@ -134,7 +134,7 @@
         pair, answer = self.pair, self.answer
         self.end()
         for _ in range(50):
-            pair.settle()
+            pair.deliver_all()
             if pair.links[-1].silent:
                 self.give_up()
             self.take()
@@ -144,7 +144,7 @@
             assert self.taken == self.made
         for each in (answer, self.other):
             pair.answers.drop(each, cancel=True)
-        pair.settle()
+        pair.deliver_all()
         for link in pair.links:
             assert link.busy.value == 0, "an entry's link stays busy"
             assert link.closed or link.other.busy.value == 0
--- a/tests/components/answers/test_guest.py
+++ b/tests/components/answers/test_guest.py
@@ -40,11 +40,11 @@
     has the answer. Cause: only sidecars of the subset were looked at.
     """
     guest = membership.reach(NAMES[0])
-    assert guest.guest
+    assert guest.resume_only
     assert membership.reach(NAMES[0]) is guest
     link = MemoryLink(membership.daemon.me)
     guest.set_link(link)
-    guest.take_news(Status(["drafter-1"], capacity=4))
+    guest.update_load(Status(["drafter-1"], capacity=4))
     # New work keeps to the subset, which spreads it evenly.
     assert not guest.usable("drafter-1")
     link.close = lambda _reason: None
--- a/tests/components/answers/test_replay.py
+++ b/tests/components/answers/test_replay.py
@@ -19,7 +19,7 @@
 def begin(pair, name="a1", **fields):
     """Ask, let the attempt arrive, and return the answer and its run."""
     answer = pair.answers.ask(pair.upstream, attempt_of(name, **fields))
-    pair.settle()
+    pair.deliver_all()
     return answer, pair.runs.shelf.get(name)
 
 
@@ -34,7 +34,7 @@
     pair.connect()
     other, other_run = begin(pair, "a2")
     pair.answers.drop(other)
-    pair.settle()
+    pair.deliver_all()
     assert other_run.cancelled.is_set()
     assert not run.cancelled.is_set()
 
@@ -49,9 +49,9 @@
     pair.close(pair.links[0])
     pair.connect()
     pair.answers.reattach(answer)
-    pair.settle()
+    pair.deliver_all()
     pair.answers.drop(answer)
-    pair.settle()
+    pair.deliver_all()
     assert run.cancelled.is_set()
 
 
@@ -66,9 +66,9 @@
     answer.lose()
     pair.connect()
     pair.answers.reattach(answer)
-    pair.settle()
+    pair.deliver_all()
     pair.answers.drop(answer)
-    pair.settle()
+    pair.deliver_all()
     assert run.cancelled.is_set()
     assert pair.links[0].other.busy.value == 0
 
@@ -85,7 +85,7 @@
     """
     answer, run = begin(pair, resumable=resumable)
     pair.answers.drop(answer)
-    pair.settle()
+    pair.deliver_all()
     assert pair.links[0].other.busy.value == 0
     assert run.cancelled.is_set() == cancelled
 
@@ -100,7 +100,7 @@
     run.add(b"one")
     pair.peers.deliver(pair.links[0].other, answer.attempt)
     run.end(Finish("a1", 0))
-    pair.settle()
+    pair.deliver_all()
     assert pair.runs.shelf.get("a1") is run
     assert (answer.take(), answer.take()) == ([b"one"], [])
 
@@ -114,7 +114,7 @@
     """
     _, run = begin(pair)
     run.add(b"secret")
-    pair.settle()
+    pair.deliver_all()
     far = pair.links[0].other
     if frame == "resume":
         pair.peers.deliver(far, Resume("b1", "a1", "other", 0))
@@ -190,7 +190,7 @@
         run.add(b"x")
     run.end(Finish("a1", 0))
     far = pair.connect().other
-    far.wait_room = lambda: run.detach(far, "b1")
+    far.wait_for_room = lambda: run.detach(far, "b1")
     run.attach(far, "b1", 0)
     assert far.busy.value == 0
     assert not any(isinstance(f, Finish) for f in far.sent)
@@ -208,12 +208,12 @@
         run.add(b"%d" % index)
     run.end(Finish("a1", 0))
     del pair.links[0].other.sent[lost]
-    pair.settle()
+    pair.deliver_all()
     taken = []
     while (got := answer.take()) != []:
         if got is LINK_LOST:
             pair.answers.reattach(answer)
-            pair.settle()
+            pair.deliver_all()
         else:
             taken += got
     assert taken == [b"0", b"1", b"2"]
@@ -229,7 +229,7 @@
     piece = b"x" * 50_000
     for _ in range(40):
         run.add(piece)
-        pair.settle()
+        pair.deliver_all()
     assert answer.waiting <= MAX_WAITING_BYTES + len(piece)
     assert not run.cancelled.is_set()
     run.end(Finish("a1", 0))
@@ -237,7 +237,7 @@
     while (got := answer.take()) != []:
         if got is LINK_LOST:
             pair.answers.reattach(answer)
-            pair.settle()
+            pair.deliver_all()
         else:
             taken += got
     assert taken == [piece] * 40
@@ -273,7 +273,7 @@
     far = pair.links[0].other
     pair.close(pair.links[0])
     run.attach(far, "b1", 0)
-    assert not run.watchers
+    assert not run.subscribers
 
 
 def test_evicted_answer_is_a_clear_error():
@@ -289,7 +289,7 @@
     pair.runs.shelf.sweep()
     pair.upstream.in_flight.add(1)
     answer = pair.answers.resume(pair.upstream, "a1", "retail", 0)
-    pair.settle()
+    pair.deliver_all()
     with pytest.raises(LacewingdockError) as caught:
         answer.take()
     assert (caught.value.kind, caught.value.ran) == ("answer_gone", "yes")
@@ -313,10 +313,10 @@
     answer, run = begin(pair, **fields)
     run.end(Finish("a1", 0))
     if ended:
-        pair.settle()
+        pair.deliver_all()
         assert answer.take() == []
         pair.answers.drop(answer)
-        pair.settle()
+        pair.deliver_all()
     else:
         pair.close(pair.links[0])
     assert pair.runs.shelf.active() == active
--- a/tests/components/gateway/test_answer_news.py
+++ b/tests/components/gateway/test_answer_news.py
@@ -7,7 +7,7 @@
     OTHERS,
     UnknownNames,
 )
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from tests.components.gateway.fakes import (
     GatewayHarness,
     Upstream,
@@ -108,7 +108,7 @@
 
 def good_head(**fields):
     """Return the head of a successful answer."""
-    return AnswerHead(200, [], sealed=True, **fields)
+    return ResponseHead(200, [], sealed=True, **fields)
 
 
 def test_unknown_header_is_logged_once(lines):
--- a/tests/components/gateway/test_leaving_instances.py
+++ b/tests/components/gateway/test_leaving_instances.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from lacewingdock.world.route import Repeat
 from tests.components.gateway.fakes import (
     END,
@@ -70,7 +70,7 @@
     def slow(entry, timeout_s):
         if entry.id == "i-1":
             instance = harness.directory.instances["i-1"]
-            head = AnswerHead(200, [], sealed=True, leaving=True)
+            head = ResponseHead(200, [], sealed=True, leaving=True)
             harness.gateway.record_head(instance, head, 0.0)
         return connect(entry, timeout_s)
 
--- a/tests/components/gateway/test_resting_instances.py
+++ b/tests/components/gateway/test_resting_instances.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from lacewingdock.world.route import Repeat
 from tests.components.gateway.fakes import (
     END,
@@ -120,7 +120,7 @@
         return False
 
     broken.steps.append(leave)
-    busy = AnswerHead(503, [], not_run=True, rest_s=0.5)
+    busy = ResponseHead(503, [], not_run=True, rest_s=0.5)
     harness.gateway.record_head(harness.directory.instances["i-2"], busy, 0.0)
     assert harness.call(deadline_ms=3000)[0] == 200
     assert len(resting.times) == 1
@@ -136,7 +136,7 @@
     harness = build_one_route(broken, resting, other, **STREAM)
     harness.directory.instances["i-2"].running = 40
     harness.directory.instances["i-3"].running = 50
-    busy = AnswerHead(503, [], not_run=True, rest_s=9.0)
+    busy = ResponseHead(503, [], not_run=True, rest_s=9.0)
     harness.gateway.record_head(harness.directory.instances["i-2"], busy, 0.0)
     status, _, body = harness.call(extra="Model: *\r\n")
     assert (status, body) == (200, b"id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n")
--- a/tests/components/gossip/test_limits.py
+++ b/tests/components/gossip/test_limits.py
@@ -9,7 +9,7 @@
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.limits import Limit
 from lacewingdock.daemons.router_ports import build_gossip
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from lacewingdock.world.host import HostProfile
 from tests.components.upstreams.entries import entry
 
@@ -52,7 +52,7 @@
     """
     told, directory = router("r-1", 70)
     hearing, other = router("r-2", 70)
-    head = AnswerHead(200, [], limit_per_s=2.0)
+    head = ResponseHead(200, [], limit_per_s=2.0)
     for one in directory.instances.values():
         directory.signals.answered(one.entry, one.signals, head, 0.0)
     message = decode(encode(told.compose(1)))
--- a/tests/components/pacing/limited_fleet.py
+++ b/tests/components/pacing/limited_fleet.py
@@ -8,7 +8,7 @@
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from lacewingdock.world.host import Bounds
 from tests.components.upstreams.entries import entry
 from tests.timeline import Timeline
@@ -103,7 +103,7 @@
         fleet = self.fleet
         limit = fleet.limit()
         fleet.arrivals.append((fleet.now(), self.name))
-        head = AnswerHead(200, [], sealed=True, limit_per_s=limit)
+        head = ResponseHead(200, [], sealed=True, limit_per_s=limit)
         fleet.after(fleet.way(BACK_S), self.answered, head, sent_at, fleet.ends)
 
     def answered(self, head, sent_at, ends):
--- a/tests/components/pacing/test_named_limits.py
+++ b/tests/components/pacing/test_named_limits.py
@@ -18,12 +18,12 @@
 from lacewingdock.components.pacing.shares import Allowance, shares
 from lacewingdock.components.upstreams.limits import TOLD_S
 from lacewingdock.components.upstreams.signals import SignalMemory, Signals
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from tests.components.pacing.limited_fleet import Fleet
 from tests.components.upstreams.entries import entry
 
-NAMES_THREE = AnswerHead(200, [], sealed=True, limit_per_s=3.0)
-NAMES_NONE = AnswerHead(200, [], sealed=True)
+NAMES_THREE = ResponseHead(200, [], sealed=True, limit_per_s=3.0)
+NAMES_NONE = ResponseHead(200, [], sealed=True)
 
 
 def test_fleet_keeps_to_a_limit_that_an_instance_names():
@@ -186,10 +186,10 @@
         clock.time += later_s
         match step:
             case ("answer", value):
-                head = AnswerHead(200, [], limit_per_s=value)
+                head = ResponseHead(200, [], limit_per_s=value)
                 memory.answered(entry("i"), signals, head, clock.time - 0.1)
             case ("overtaken", value):
-                head = AnswerHead(200, [], limit_per_s=value)
+                head = ResponseHead(200, [], limit_per_s=value)
                 memory.answered(entry("i"), signals, head, clock.time - 9.0)
             case ("none", ago_s):
                 memory.answered(
--- a/tests/components/peers/test_peers.py
+++ b/tests/components/peers/test_peers.py
@@ -27,7 +27,7 @@
         self.clock = clock
         self.busy = Tally()
         self.busy.add(busy)
-        self.last_heard = self.last_sent = clock.now
+        self.last_received = self.last_sent = clock.now
         self.busy_since = clock.now
         self.last_beat = clock.now
         self.beats = 0
@@ -60,7 +60,7 @@
     for _ in range(int(seconds / 0.2)):
         clock.now += 0.2
         if hears:
-            link.last_heard = clock.now
+            link.last_received = clock.now
         if sends:
             link.last_sent = clock.now
         links.pace()
--- a/tests/components/quarantine/common.py
+++ b/tests/components/quarantine/common.py
@@ -17,7 +17,7 @@
             address="127.0.0.1:1",
         )
     )
-    made.take_news(Status(["v"], running, 0, 10))
+    made.update_load(Status(["v"], running, 0, 10))
     return made
 
 
--- a/tests/components/quarantine/test_losses.py
+++ b/tests/components/quarantine/test_losses.py
@@ -323,7 +323,7 @@
 
 
 @pytest.mark.parametrize(
-    ("gone", "linked", "age_s", "refusal_of", "left"),
+    ("gone", "linked", "age_s", "build_refusal", "left"),
     [
         (False, True, 0.0, "w0", False),
         # Only the sidecar itself may say what became of an attempt.
@@ -334,7 +334,7 @@
     ],
 )
 def test_silent_sidecar_is_asked(
-    quarantine, gone, linked, age_s, refusal_of, left
+    quarantine, gone, linked, age_s, build_refusal, left
 ):
     handlers = []
     peers = SimpleNamespace(handle=lambda _, handler: handlers.append(handler))
@@ -352,7 +352,7 @@
     inquiry.ask()
     if linked:
         assert silent.link.sent == [Cancel("a", settle=True)]
-    if refusal_of is not None:
-        link = FakeLink(refusal_of)
+    if build_refusal is not None:
+        link = FakeLink(build_refusal)
         handlers[0](link, Refusal("a", "no_upstream", "no", ""))
     assert bool(quarantine.losses.instances(F)) is left
--- a/tests/components/quarantine/test_placing.py
+++ b/tests/components/quarantine/test_placing.py
@@ -112,7 +112,7 @@
     if proven:
         placing.prove("f")
     if loaded:
-        first.take_news(Status(["v"], 10, 5, 10))
+        first.update_load(Status(["v"], 10, 5, 10))
     again = {
         placing.choose("f", candidates, (), source).name for _ in range(20)
     }
--- a/tests/components/quarantine/virtual_fleet.py
+++ b/tests/components/quarantine/virtual_fleet.py
@@ -91,7 +91,7 @@
         there, back = Pipe(), Pipe()
         near = Link(FakeSocket(vt, back, there), other.daemon.me)
         far = Link(FakeSocket(vt, there, back), self.daemon.me)
-        far.delay.note(stamp_ms())
+        far.delay.record_stamp(stamp_ms())
         vt.start_in(other.process, other.peers.read, far)
         self.read(near)
 
--- a/tests/components/runs/test_given_up.py
+++ b/tests/components/runs/test_given_up.py
@@ -55,7 +55,7 @@
 
     def take(self, attempt):
         """Read an attempt's frame."""
-        self.link.delay.note(attempt.sent_ms)
+        self.link.delay.record_stamp(attempt.sent_ms)
         self.pair.peers.deliver(self.link, attempt)
 
     def run(self):
@@ -91,7 +91,7 @@
     """
     sidecar = Sidecar()
     now_ms = stamp_ms()
-    sidecar.link.delay.note(now_ms)
+    sidecar.link.delay.record_stamp(now_ms)
     attempt = attempt_of(repeatable=repeatable)
     attempt.sent_ms = now_ms - int(late_s * 1000)
     sidecar.take(attempt)
@@ -109,12 +109,12 @@
         runs_module,
         "call_upstream",
         lambda _url, run, deadline, **_: deadlines.append(
-            deadline - run.changed
+            deadline - run.idle_since
         ),
     )
     sidecar = Sidecar()
     now_ms = stamp_ms()
-    sidecar.link.delay.note(now_ms)
+    sidecar.link.delay.record_stamp(now_ms)
     attempt = attempt_of(repeatable=False, deadline_ms=10_000)
     attempt.sent_ms = now_ms - int(late_s * 1000)
     sidecar.take(attempt)
@@ -194,7 +194,7 @@
     newer = sidecar.pair.connect().other
     match state:
         case "waits, kept":
-            run.kept = True
+            run.resume_announced = True
         case "waits, awaited":
             run.attach(newer, "a2", 0)
         case "refused":
--- a/tests/components/upstreams/signalling_fleet.py
+++ b/tests/components/upstreams/signalling_fleet.py
@@ -16,7 +16,7 @@
 from lacewingdock.components.shifts import VersionRule
 from lacewingdock.components.upstreams.choice import Chooser, Turn
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from lacewingdock.world.host import Bounds
 from tests.components.upstreams.entries import entry
 from tests.timeline import Timeline
@@ -58,10 +58,10 @@
         leaving = now >= self.leaves_at
         for since, until, rest_s in self.sheds:
             if since <= now < until:
-                return AnswerHead(
+                return ResponseHead(
                     503, [], not_run=True, rest_s=rest_s, leaving=leaving
                 )
-        return AnswerHead(200, [], sealed=True, leaving=leaving)
+        return ResponseHead(200, [], sealed=True, leaving=leaving)
 
 
 @dataclass(slots=True)
--- a/tests/components/upstreams/test_leaving.py
+++ b/tests/components/upstreams/test_leaving.py
@@ -4,14 +4,16 @@
 
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import InstanceState
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from tests.components.upstreams.entries import entry
 from tests.components.upstreams.signalling_fleet import Fleet, Instance
 
-LEAVES = AnswerHead(200, [], sealed=True, leaving=True)
-GOOD = AnswerHead(200, [], sealed=True)
-OTHERS = AnswerHead(503, [], instance="b", not_run=True, leaving=True)
-MISDIRECTED = AnswerHead(421, [], not_run=True, misdirected=True, leaving=True)
+LEAVES = ResponseHead(200, [], sealed=True, leaving=True)
+GOOD = ResponseHead(200, [], sealed=True)
+OTHERS = ResponseHead(503, [], instance="b", not_run=True, leaving=True)
+MISDIRECTED = ResponseHead(
+    421, [], not_run=True, misdirected=True, leaving=True
+)
 
 
 def directory(*entries):
@@ -37,12 +39,12 @@
         ([LEAVES, GOOD], True),
         ([GOOD, LEAVES, GOOD, LEAVES], True),
         # It need not have run the request, nor have signed its answer.
-        ([AnswerHead(503, [], not_run=True, leaving=True)], True),
-        ([AnswerHead(500, [], leaving=True)], True),
+        ([ResponseHead(503, [], not_run=True, leaving=True)], True),
+        ([ResponseHead(500, [], leaving=True)], True),
         # Another instance lives at its address, and speaks for itself.
         ([OTHERS], False),
         ([MISDIRECTED], False),
-        ([AnswerHead(200, [], sealed=True, odd=("server-leaving",))], False),
+        ([ResponseHead(200, [], sealed=True, odd=("server-leaving",))], False),
     ],
 )
 def test_whose_word_counts(heads, leaving):
--- a/tests/components/upstreams/test_resting.py
+++ b/tests/components/upstreams/test_resting.py
@@ -16,7 +16,7 @@
     Rest,
 )
 from lacewingdock.components.upstreams.signals import SignalMemory
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from tests.components.upstreams.entries import entry
 from tests.components.upstreams.signalling_fleet import (
     ALLOWED,
@@ -24,7 +24,7 @@
     Instance,
 )
 
-GOOD = AnswerHead(200, [], sealed=True)
+GOOD = ResponseHead(200, [], sealed=True)
 
 
 class Clock:
@@ -39,7 +39,7 @@
 
 def busy(rest_s, **changes):
     """Return the head of an answer that turns a request away."""
-    return AnswerHead(503, [], not_run=True, rest_s=rest_s, **changes)
+    return ResponseHead(503, [], not_run=True, rest_s=rest_s, **changes)
 
 
 @pytest.mark.parametrize(
@@ -56,8 +56,8 @@
         ([(0, busy(3.0)), (3, GOOD)], 0.0),
         ([(0, busy(0.0))], 0.0),
         # Signed or not, run or not.
-        ([(0, AnswerHead(503, [], sealed=True, rest_s=2.0))], 2.0),
-        ([(0, AnswerHead(503, [], rest_s=2.0))], 2.0),
+        ([(0, ResponseHead(503, [], sealed=True, rest_s=2.0))], 2.0),
+        ([(0, ResponseHead(503, [], rest_s=2.0))], 2.0),
         # Another instance lives at the address.
         ([(0, busy(3.0, instance="b"))], 0.0),
         ([(0, busy(3.0, instance="a"))], 3.0),
--- a/tests/links/test_delay.py
+++ b/tests/links/test_delay.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lacewingdock.links import delay as delay_module
-from lacewingdock.links.delay import WINDOW_S, Delay
+from lacewingdock.links.delay import WINDOW_S, DelayEstimator
 
 
 @pytest.fixture
@@ -28,13 +28,13 @@
 def test_delay_is_told_whatever_the_sender_s_clock_shows(
     clock, ahead_s, sent_at, read_at, late_s
 ):
-    delay = Delay()
+    delay = DelayEstimator()
     clock[0] = 1000.001
-    delay.note(int((1000.0 + ahead_s) * 1000))
+    delay.record_stamp(int((1000.0 + ahead_s) * 1000))
     stamp = int((1000.0 + ahead_s + sent_at) * 1000)
     clock[0] = 1000.0 + read_at
-    delay.note(stamp)
-    assert delay.of(stamp) == pytest.approx(late_s, abs=0.002)
+    delay.record_stamp(stamp)
+    assert delay.estimate_s(stamp) == pytest.approx(late_s, abs=0.002)
 
 
 def test_clocks_that_drift_apart_make_nothing_late(clock):
@@ -44,18 +44,18 @@
     Events: the two clocks drift apart by 0.1 ms each second.
     Cause: the first frames' difference is held against all later ones.
     """
-    delay = Delay()
+    delay = DelayEstimator()
     for second in range(0, 36_000, 5):
         clock[0] = 1000.0 + second
         stamp = int((1000.0 + second * (1 - 1e-4)) * 1000)
-        delay.note(stamp)
-        assert delay.of(stamp) < 2 * WINDOW_S * 1e-4 + 0.002
+        delay.record_stamp(stamp)
+        assert delay.estimate_s(stamp) < 2 * WINDOW_S * 1e-4 + 0.002
 
 
 def test_frame_without_a_stamp_is_not_late(clock):
-    delay = Delay()
-    delay.note(0)
-    assert delay.of(0) == 0.0
-    delay.note(1000)
+    delay = DelayEstimator()
+    delay.record_stamp(0)
+    assert delay.estimate_s(0) == 0.0
+    delay.record_stamp(1000)
     clock[0] += 60
-    assert delay.of(0) == 0.0
+    assert delay.estimate_s(0) == 0.0
--- a/tests/links/test_link.py
+++ b/tests/links/test_link.py
@@ -84,7 +84,7 @@
         target=lambda: [next(frames) for _ in range(count + 80)]
     )
     reader.start()
-    assert near.wait_room()
+    assert near.wait_for_room()
     reader.join()
 
 
@@ -102,7 +102,7 @@
     """
     link, _ = ends
     now = time.monotonic()
-    link.last_heard = now - heard_ago_s
+    link.last_received = now - heard_ago_s
     if busy:
         link.begin()
     limit = SILENCE_S if busy else SILENCE_IDLE_S
--- a/tests/memory_links.py
+++ b/tests/memory_links.py
@@ -13,7 +13,7 @@
 from lacewingdock.components.answers import Answers
 from lacewingdock.components.runs import Runs
 from lacewingdock.helpers.tally import Tally
-from lacewingdock.links.delay import Delay
+from lacewingdock.links.delay import DelayEstimator
 from lacewingdock.links.messages import Attempt, Hello, Message
 from lacewingdock.settings import SidecarSettings
 from lacewingdock.world.objects import Instance
@@ -29,7 +29,7 @@
         self.silent = False
         self.closed = False
         self.busy = Tally()
-        self.delay = Delay()
+        self.delay = DelayEstimator()
         self.lapsed = False
         self.other: MemoryLink = self
         self.owner: FakePeers
@@ -56,7 +56,7 @@
         """Count it off."""
         self.busy.add(-1)
 
-    def wait_room(self) -> bool:
+    def wait_for_room(self) -> bool:
         """Tell whether the link is open."""
         return not self.closed
 
@@ -166,7 +166,7 @@
             message = end.sent.pop(0)
             end.other.owner.deliver(end.other, message)
 
-    def settle(self) -> None:
+    def deliver_all(self) -> None:
         """Let everything arrive that is on its way over open links."""
         while any(k.sent or k.other.sent for k in self.links if not k.closed):
             for link in self.links:
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -35,7 +35,7 @@
 )
 def test_limit_of_an_instance(values, per_s, unread):
     found = head(*((b"server-limit", value) for value in values))
-    assert (found.limit_per_s, found.limit_unread) == (per_s, unread)
+    assert (found.limit_per_s, found.limit_malformed) == (per_s, unread)
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -11,7 +11,7 @@
 import pytest
 
 from lacewingdock.platform import wire
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 
 ROOT = Path(__file__).parents[2]
 PACKAGE = ROOT / "lacewingdock"
@@ -25,7 +25,7 @@
 # What makes up every answer, and asks for nothing.
 PLAIN = {"cache-control", "content-length", "content-type", "date", "server"}
 KNOWN = {name.decode() for name in wire._KNOWN_OF_ANSWER}
-FIELDS = [one.name for one in dataclasses.fields(AnswerHead)]
+FIELDS = [one.name for one in dataclasses.fields(ResponseHead)]
 READERS = "\n".join(
     path.read_text()
     for path in (PACKAGE / "components").rglob("*.py")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,7 +14,7 @@
     EntrySettings,
     SidecarSettings,
     load_settings,
-    variable,
+    variable_name,
 )
 
 ENTRY = {
@@ -87,7 +87,7 @@
 
 
 def test_a_flag_goes_before_its_variable():
-    environ = {variable(n): v for n, v in ENTRY.items()}
+    environ = {variable_name(n): v for n, v in ENTRY.items()}
     found = load_settings(EntrySettings, {"instance": "flag"}, environ)
     assert (found.instance, found.failure_domain) == ("flag", "hall-a")
 
@@ -113,7 +113,7 @@
     ]
     assert len(settings) > 5
     names = {s.name for found in settings for s in describe(found)}
-    environ = {variable(name): "" for name in names}
+    environ = {variable_name(name): "" for name in names}
     assert "no such setting" not in fault(cls, {}, environ)
 
 
