--- a/tests/components/membership/test_membership.py
+++ b/tests/components/membership/test_membership.py
@@ -74,7 +74,7 @@
     before = members.upstreams["worker-0"]
     members.take([sidecar("worker-0", address="127.0.0.1:9")])
     assert members.upstreams["worker-0"] is not before
-    assert not before.wanted
+    assert not before.keep_linked
 
 
 def test_link_that_a_call_needs_is_dialed_at_once(node, monkeypatch):
