--- a/lacewingdock/cli.py
+++ b/lacewingdock/cli.py
@@ -29,12 +29,13 @@
     load_settings,
 )
 
-HELP: Final = ("", "help", "-h", "--help")
-# fire would take these as its own: "-" ends a command's arguments, "--" opens
-# its flags, one of which starts an interpreter.
-FIRE_WORDS: Final = ("-", "--")
-INTERRUPTED: Final = 130
-# What the platform's settings files are told from manifests by.
+HELP_ARGUMENTS: Final = ("", "help", "-h", "--help")
+# fire interprets these itself: "-" ends the arguments of a command, and "--"
+# starts the flags of fire, one of which opens an interpreter.
+FIRE_SEPARATORS: Final = ("-", "--")
+# Exit status after SIGINT.
+INTERRUPTED_STATUS: Final = 130
+# Suffix that distinguishes settings files of the platform from manifests.
 PROFILE_SUFFIX: Final = ".toml"
 
 
@@ -43,21 +44,21 @@
 
     @command(EntrySettings)
     def entry(self, **flags: str) -> None:
-        """Run an entry, which callers talk to."""
+        """Run an entry, which accepts requests of callers."""
         from lacewingdock.daemons.entry import run_entry
 
         _run_daemon(load_settings(EntrySettings, flags), run_entry)
 
     @command(SidecarSettings)
     def sidecar(self, **flags: str) -> None:
-        """Run a sidecar, the last gate before an upstream."""
+        """Run a sidecar, which admits requests to one upstream."""
         from lacewingdock.daemons.sidecar import run_sidecar
 
         _run_daemon(load_settings(SidecarSettings, flags), run_sidecar)
 
     @command(RouterSettings)
     def router(self, **flags: str) -> None:
-        """Run a router, which calls upstreams by itself, on a platform."""
+        """Run a router, which calls the upstreams of a platform directly."""
         from lacewingdock.daemons.router import run_router
 
         left = run_router(load_settings(RouterSettings, flags))
@@ -81,44 +82,44 @@
                     for one in too_slow(profile.bounds)
                 ]
             return "\n".join(lines)
-        manifest = parse_manifest(_read(file))
+        manifest = parse_manifest(_read_file(file))
         return f"{file}: {len(manifest)} objects, no faults"
 
     @command(ClientSettings)
     def diff(self, file: str, **flags: str) -> str:
-        """Show what `apply` would change; changes nothing."""
+        """Show what `apply` would change, without changing anything."""
         from lacewingdock.components.configuration.apply import diff_manifest
         from lacewingdock.platform.store import ObjectStore
         from lacewingdock.world.manifest import parse_manifest
 
         settings = load_settings(ClientSettings, flags)
-        manifest = parse_manifest(_read(file))
+        manifest = parse_manifest(_read_file(file))
         changes = diff_manifest(ObjectStore(settings.platform), manifest)
         lines = [line for change in changes for line in change.lines()]
         return "\n".join(lines) or "no changes"
 
     @command(ClientSettings)
     def apply(self, file: str, **flags: str) -> str:
-        """Bring a manifest into force, each item by a conditional update."""
+        """Apply a manifest, each item by a conditional update."""
         from lacewingdock.components.configuration.apply import apply_manifest
         from lacewingdock.platform.store import ObjectStore
         from lacewingdock.world.manifest import parse_manifest
 
         settings = load_settings(ClientSettings, flags)
-        manifest = parse_manifest(_read(file))
+        manifest = parse_manifest(_read_file(file))
         changes = apply_manifest(ObjectStore(settings.platform), manifest)
         return "\n".join(str(change) for change in changes) or "no changes"
 
     @command(ReportSettings)
     def report(self, **flags: str) -> None:
-        """Report how fast each workspace's error budgets burn."""
+        """Report the error-budget burn rate of each workspace."""
         from lacewingdock.components.reports import report
 
         report(load_settings(ReportSettings, flags), _print)
 
     @command(AskSettings)
     def ask(self, text: str = "", **flags: str) -> None:
-        """Ask or order in the operators' language; without TEXT, a prompt."""
+        """Run a query or command of the operators; without TEXT, a prompt."""
         from lacewingdock.components.language.client import (
             Client,
             as_text,
@@ -131,7 +132,7 @@
         if not text:
             prompt(client, settings.json)
             return
-        # Under one id, so that an order that is watched is given once.
+        # All repeats share one id, so that a watched command runs only once.
         command_id = settings.id or f"c-{new_id()}"
         try:
             _print(as_text(client.ask(text, command_id), settings.json))
@@ -146,7 +147,7 @@
 
     @command(BillsSettings)
     def bills(self, workspace: str, **flags: str) -> str:
-        """Print a workspace's bills of a day, in the unit of the prices."""
+        """Print the bills of a workspace for a day, in units of the prices."""
         from lacewingdock.components.billing.report import show_statement
         from lacewingdock.platform.store import ObjectStore
 
@@ -162,9 +163,9 @@
         since: str = "",
         until: str = "",
     ) -> str:
-        """Tell a request's story from log lines on standard input.
+        """Show the timeline of a request from log lines on standard input.
 
-        Without REQUEST, list the requests of a workspace in a span of time.
+        Without REQUEST, list the requests of a workspace in a time range.
         """
         from lacewingdock.components.story import (
             list_requests,
@@ -179,7 +180,7 @@
 
     @command(ShowSettings)
     def show(self, **flags: str) -> str:
-        """Show what a running router believes."""
+        """Show the state of a running router."""
         from lacewingdock.components.inspection.show import (
             read_state,
             show_state,
@@ -193,9 +194,9 @@
 
     @command(SimulateSettings)
     def simulate(self, verb: str, file: str, **flags: str) -> str:
-        """Play days of a model: `run` tells of them, `compare` of two policies.
+        """Simulate days: `run` reports them, `compare` compares two policies.
 
-        FILE is a deployment.
+        FILE describes the simulated deployment.
         """
         try:
             from lacewingdock.lab.command import simulate
@@ -217,7 +218,7 @@
     print(text, flush=True)
 
 
-def _read(file: str) -> str:
+def _read_file(file: str) -> str:
     try:
         return Path(file).read_text("utf-8")
     except (OSError, ValueError) as error:
@@ -237,9 +238,9 @@
 
 
 def run_command(arguments: list[str]) -> int:
-    """Run one command line and return its exit status."""
+    """Run a command line and return the exit status."""
     try:
-        if not arguments or arguments[0] in HELP:
+        if not arguments or arguments[0] in HELP_ARGUMENTS:
             print(overview(Commands))
             return 0
         known = command_table(Commands)
@@ -248,9 +249,9 @@
                 ErrorKind.BAD_COMMAND,
                 f"{arguments[0]!r}: want one of {', '.join(sorted(known))}",
             )
-        if taken := [word for word in arguments if word in FIRE_WORDS]:
+        if taken := [word for word in arguments if word in FIRE_SEPARATORS]:
             raise LacewingdockError(
-                ErrorKind.BAD_COMMAND, f"{taken[0]!r} is no argument"
+                ErrorKind.BAD_COMMAND, f"{taken[0]!r} is not a valid argument"
             )
         fire.Fire(Commands, arguments, name="lacewingdock")
     except LacewingdockError as error:
@@ -263,12 +264,12 @@
         print(f"lacewingdock: {kind}: {error}", file=sys.stderr)
         return 1
     except KeyboardInterrupt:
-        return INTERRUPTED
+        return INTERRUPTED_STATUS
     return 0
 
 
 def main() -> None:
-    """Run the command line; errors give their code and exit status."""
+    """Run the process's command line and exit with its status."""
     exit_now(run_command(sys.argv[1:]))
 
 
--- a/lacewingdock/const.py
+++ b/lacewingdock/const.py
@@ -9,7 +9,7 @@
 
 ENV_PREFIX: Final = "LACEWINGDOCK_"
 
-# Kinds of configuration items; an item's key is "KIND/NAME".
+# Kinds of configuration items; the key of an item is "KIND/NAME".
 KIND_CASCADE: Final = "cascade"
 KIND_MODEL: Final = "model"
 KIND_QUARANTINE: Final = "quarantine"
@@ -27,7 +27,7 @@
 COLLECTION_LEDGER: Final = "ledger"
 COLLECTION_ROLLOUTS: Final = "rollouts"
 
-# Whether a request ran, as said in answers.
+# Whether a request ran, as reported in error responses.
 RAN_NO: Final = "no"
 RAN_UNKNOWN: Final = "unknown"
 RAN_YES: Final = "yes"
@@ -41,21 +41,25 @@
 HEADER_TIMEOUT: Final = "Lacewingdock-Timeout"
 HEADER_VERSION: Final = "Lacewingdock-Version"
 
-# A link that carries work beats this often; an idle one rarely, because at
-# 168 links a daemon's control budget is 18 KB/s (docs/CAPACITY.md).
+# Seconds between heartbeats of a busy and of an idle link. Idle links send them
+# rarely, because at 168 links a daemon's control budget is 18 KB/s
+# (docs/CAPACITY.md).
 BEAT_BUSY_S: Final = 0.2
 BEAT_IDLE_S: Final = 5.0
-# Three lost busy beats and some scheduling slack.
+# Seconds of silence after which a busy and an idle link are closed. The busy
+# limit allows for three lost heartbeats and some scheduling delay.
 SILENCE_S: Final = 0.7
 SILENCE_IDLE_S: Final = 16.0
 
+# Timeouts, in seconds, of connecting to a peer and of its handshake.
 DIAL_TIMEOUT_S: Final = 1.0
 HANDSHAKE_TIMEOUT_S: Final = 2.0
 
+# Size limits, in bytes, of a request body, a frame and a handshake frame.
 MAX_BODY_BYTES: Final = 1024 * 1024
 MAX_FRAME_BYTES: Final = 4 * 1024 * 1024
 MAX_HELLO_BYTES: Final = 4096
-# A decoder in C goes as deep as the interpreter's limit of 1,000 levels and
-# takes 256 to 512 KB of stack for it; with less, one nested JSON body ends
-# the process. Pages that a task does not touch take no memory.
+# Stack size of a thread in bytes. A decoder in C recurses up to the interpreter
+# limit of 1,000 levels and needs 256 to 512 KB of stack for it; with less, one
+# deeply nested JSON body crashes the process. Untouched pages use no memory.
 THREAD_STACK_BYTES: Final = 1024 * 1024
--- a/lacewingdock/core.py
+++ b/lacewingdock/core.py
@@ -23,7 +23,9 @@
 from lacewingdock.platform.store import ObjectStore
 from lacewingdock.settings import DaemonSettings, EntrySettings
 
+# Maximum number of concurrent tasks of a daemon.
 MAX_TASKS: Final = 4096
+# Seconds between checks for remaining requests while draining.
 DRAIN_POLL_S: Final = 0.05
 
 log = get_logger("core")
@@ -32,28 +34,28 @@
 
 
 class Component(Protocol):
-    """What a component's `setup` returns."""
+    """Interface of the object that a component's `setup` returns."""
 
     def unload(self) -> None:
-        """Undo `setup`; called in reverse order of setting up."""
+        """Undo `setup`; components unload in reverse order of setup."""
 
 
 class Daemon:
-    """One process: settings, tasks and components.
+    """A daemon process with its settings, tasks and components.
 
     Attributes:
-        settings: The checked settings.
-        me: What this daemon says of itself on links.
-        keys: Keys of the links.
+        settings: The validated settings.
+        me: Identity of this daemon on links.
+        keys: Keys that authenticate links.
         store: Client of the platform's object API.
-        executor: Runs the tasks.
-        stopping: Set when the process shall end.
-        leaving: Set from the announcement of a planned stop.
-        components: The components by name, in order of setting up.
+        executor: Thread pool of the tasks.
+        stopping: Set when the process must end.
+        leaving: Set once a planned stop begins and the daemon drains.
+        components: Components by name, in order of setup.
         metrics: Registry of the metrics.
-        random: Source of jitter.
+        random: Random generator for jitter.
         started: Monotonic time of the start.
-        on_leave: Called when a planned stop is announced.
+        on_leave: Callbacks that run when a planned stop begins.
     """
 
     __slots__ = (
@@ -72,7 +74,7 @@
     )
 
     def __init__(self, settings: DaemonSettings) -> None:
-        """Build the daemon; nothing runs before `run`."""
+        """Build a daemon from settings; no task is started yet."""
         threading.stack_size(THREAD_STACK_BYTES)
         is_entry = isinstance(settings, EntrySettings)
         self.settings = settings
@@ -96,16 +98,16 @@
         self.on_leave: list[Callable[[], None]] = []
 
     def spawn(self, function: Callable[..., Any], *args: Any) -> "Future[Any]":
-        """Run a function as a task; what it raises is logged."""
+        """Run a function as a task and log any exception it raises."""
         future = self.executor.submit(function, *args)
         future.add_done_callback(_log_failure)
         return future
 
     def every(self, interval_s: float, function: Callable[[], None]) -> None:
-        """Run a function again and again until the daemon stops.
+        """Run a function periodically until the daemon stops.
 
-        An error in one round is logged and the rounds go on: a task that
-        died unseen would leave its duty undone for good.
+        An exception in one round is logged and the next round runs as usual;
+        otherwise a failed task would silently stop for good.
         """
 
         def rounds() -> None:
@@ -118,21 +120,21 @@
         self.spawn(rounds)
 
     def add(self, name: str, component: Component) -> None:
-        """Take a component in."""
+        """Register a component."""
         self.components[name] = component
 
     def component(self, name: str, cls: type[C]) -> C:
-        """Return a component that was set up before."""
+        """Return a registered component, typed as its class."""
         return cast("C", self.components[name])
 
     def run(self, drain: Callable[[], int]) -> int:
         """Serve until SIGTERM or SIGINT, then stop gracefully.
 
         Args:
-            drain: Returns how many requests are still running here.
+            drain: Returns the number of requests that still run here.
 
         Returns:
-            The number of requests cut by the end of the grace time.
+            The number of requests aborted at the end of the grace period.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.leaving.set())
@@ -148,16 +150,16 @@
 
     def _drain(self, drain: Callable[[], int]) -> int:
         end = time.monotonic() + self.settings.grace_s
-        # Whoever sends here hears of the stop a little later: peers with the
-        # next frame, the balancer with its next check. What they send until
-        # then must still be served.
+        # Senders learn of the stop with a delay: peers with the next frame, the
+        # load balancer with its next health check. Requests that they send
+        # until then must still be served.
         time.sleep(min(self.settings.linger_s, self.settings.grace_s))
         while time.monotonic() < end and drain():
             time.sleep(DRAIN_POLL_S)
         return drain()
 
     def stop(self) -> None:
-        """Unload the components, the last one first."""
+        """Unload the components in reverse order of setup."""
         self.stopping.set()
         for name in reversed(list(self.components)):
             try:
--- a/lacewingdock/exceptions.py
+++ b/lacewingdock/exceptions.py
@@ -1,4 +1,4 @@
-"""Support for the closed list of error kinds and what each answers."""
+"""Support for the closed list of error kinds and their responses."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Every kind of error the system can answer or exit with."""
+    """All kinds of errors that a response or an exit status can report."""
 
     ANSWER_GONE = "answer_gone"
     BAD_COMMAND = "bad_command"
@@ -50,13 +50,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ErrorResponse:
-    """What one error kind tells a caller or an operator.
+    """Response of one error kind to a caller or an operator.
 
     Attributes:
         status: HTTP status.
-        title: One line of English for people.
-        ran: Whether the request ran, unless the error says otherwise.
-        retry_after_s: Seconds until trying again can help; None if it can't.
+        title: Human-readable summary in one line.
+        ran: Default for whether the request ran: "no", "yes" or "unknown".
+        retry_after_s: Seconds after which a retry can succeed; None if a retry
+            cannot succeed.
         exit_status: Exit status of the command line.
     """
 
@@ -89,7 +90,7 @@
     ErrorKind.BUDGET_EXHAUSTED: ErrorResponse(
         429, "The workspace's budget is used up", retry_after_s=60.0
     ),
-    # Nobody reads this answer; its row is for the log.
+    # The caller has disconnected: this response is only logged.
     ErrorKind.CALLER_LEFT: ErrorResponse(
         499, "The caller closed its connection", ran=RAN_UNKNOWN
     ),
@@ -167,15 +168,15 @@
 
 
 class LacewingdockError(Exception):
-    """The root of all errors raised by lacewingdock.
+    """Base class of all errors raised by lacewingdock.
 
     Attributes:
-        kind: The error's kind; `ANSWERS` says what it answers.
-        detail: What happened, for people; never holds a secret.
+        kind: Kind of the error; `ERROR_RESPONSES` holds its response.
+        detail: Human-readable description; never contains a secret.
         ran: Whether the request ran: "no", "yes" or "unknown".
-        retry_after_s: Seconds until trying again can help, or None.
-        revision: Configuration revision that a sidecar refused at; 0 if
-            that is not known.
+        retry_after_s: Seconds after which a retry can succeed, or None.
+        revision: Configuration revision at which a sidecar refused; 0 if
+            unknown.
     """
 
     def __init__(
@@ -186,7 +187,7 @@
         retry_after_s: float | None = None,
         revision: int = 0,
     ) -> None:
-        """Take kind and detail; the rest defaults to the kind's answer."""
+        """Build an error; omitted values default to the kind's response."""
         super().__init__(f"{kind}: {detail}")
         answer = ERROR_RESPONSES[kind]
         self.kind = kind
@@ -199,13 +200,13 @@
 
     @property
     def answer(self) -> ErrorResponse:
-        """The kind's row in `ANSWERS`."""
+        """The response of the error kind."""
         return ERROR_RESPONSES[self.kind]
 
 
 class UpstreamLost(LacewingdockError):
-    """The connection to the upstream broke, or there was none."""
+    """The connection to the upstream broke or could not be established."""
 
     def __init__(self, detail: str, ran: str = RAN_UNKNOWN) -> None:
-        """Take the detail, and "no" if the request was never sent."""
+        """Build the error; `ran` is "no" if the request was never sent."""
         super().__init__(ErrorKind.UPSTREAM_FAILED, detail, ran)
--- a/lacewingdock/library.py
+++ b/lacewingdock/library.py
@@ -1,7 +1,7 @@
-"""Support for embedding the coordination parts in other programs.
+"""Support for embedding the coordination components in other programs.
 
-The parts run without the daemons and without the platform; docs/library.md
-shows how they fit together.
+The components run without the daemons and without the platform;
+docs/library.md shows how to combine them.
 """
 
 from lacewingdock.components.admission.retry_budget import RetryBudget
--- a/lacewingdock/links/__init__.py
+++ b/lacewingdock/links/__init__.py
@@ -1,1 +1,1 @@
-"""Support for links between daemons."""
+"""Support for persistent connections (links) between daemons."""
--- a/lacewingdock/links/handshake.py
+++ b/lacewingdock/links/handshake.py
@@ -1,4 +1,4 @@
-"""Support for proving to each other that two peers hold a link key."""
+"""Support for the mutual authentication of two peers with a link key."""
 
 import secrets
 import socket
@@ -19,8 +19,8 @@
 from lacewingdock.links.wire import encode
 
 NONCE_BYTES: Final = 16
-# Each side signs under its own label: a signature reflected back to the side
-# that made it must not pass for the peer's.
+# Each side signs with its own label, so that a signature reflected back to its
+# author is not accepted as the signature of the peer.
 LABEL_DIALER: Final = b"lacewingdock dialer"
 LABEL_LISTENER: Final = b"lacewingdock listener"
 
@@ -31,22 +31,22 @@
     keys: KeyRing,
     timeout_s: float = HANDSHAKE_TIMEOUT_S,
 ) -> Link:
-    """Connect to a peer and shake hands.
+    """Connect to a peer and authenticate mutually.
 
     Args:
         address: "IP:PORT".
-        me: What this daemon says of itself; the nonce is filled in here.
-        keys: Keys that sign and that are accepted.
-        timeout_s: Seconds that connecting and each frame may take.
+        me: Identity of this daemon; the nonce is generated here.
+        keys: Keys for signing and verification.
+        timeout_s: Timeout of the connect and of each frame, in seconds.
 
     Returns:
-        The link.
+        The authenticated link.
 
     Raises:
-        LacewingdockError: BAD_LINK when the peer does not hold the key.
-        OSError: The connection failed or the time ran out.
+        LacewingdockError: BAD_LINK if the peer does not hold a link key.
+        OSError: The connection failed or timed out.
     """
-    sock, peer, transcript = _greet(address, me, keys, timeout_s)
+    sock, peer, transcript = _exchange_hellos(address, me, keys, timeout_s)
     try:
         key_id, mac = keys.sign(LABEL_DIALER, *transcript)
         sock.sendall(encode(Proof(key_id.encode() + b" " + mac, stamp_ms())))
@@ -57,33 +57,33 @@
 
 
 def probe(address: str, me: Hello, keys: KeyRing, timeout_s: float) -> Hello:
-    """Find out who answers at an address, without opening a link.
+    """Identify the daemon at an address without opening a link.
 
     Args:
         address: "IP:PORT".
-        me: What this daemon says of itself; the nonce is filled in here.
-        keys: Keys that are accepted.
-        timeout_s: Seconds that connecting and the answer may take.
+        me: Identity of this daemon; the nonce is generated here.
+        keys: Keys for verification.
+        timeout_s: Timeout of the connect and of the response, in seconds.
 
     Returns:
-        What the peer, which holds a link key, says of itself.
+        Identity of the peer, which proved that it holds a link key.
 
     Raises:
-        LacewingdockError: BAD_LINK when the peer does not hold the key.
-        OSError: The connection failed or the time ran out.
+        LacewingdockError: BAD_LINK if the peer does not hold a link key.
+        OSError: The connection failed or timed out.
     """
-    sock, peer, _ = _greet(address, me, keys, timeout_s)
+    sock, peer, _ = _exchange_hellos(address, me, keys, timeout_s)
     sock.close()
     return peer
 
 
-def _greet(
+def _exchange_hellos(
     address: str, me: Hello, keys: KeyRing, timeout_s: float
 ) -> tuple[socket.socket, Hello, tuple[bytes, ...]]:
-    """Connect and check that the listener holds a link key.
+    """Connect and verify that the listener holds a link key.
 
     Returns:
-        The socket, what the peer said of itself, and what is to be signed.
+        The socket, the identity of the peer, and the transcript to sign.
     """
     sock = socket.create_connection(
         split_address(address), min(timeout_s, DIAL_TIMEOUT_S)
@@ -92,8 +92,13 @@
         sock.settimeout(timeout_s)
         hello = replace(me, nonce=secrets.token_bytes(NONCE_BYTES))
         sock.sendall(encode(hello))
-        peer = _hello(sock)
-        transcript = (hello.nonce, peer.nonce, _named(hello), _named(peer))
+        peer = _read_hello(sock)
+        transcript = (
+            hello.nonce,
+            peer.nonce,
+            _encode_identity(hello),
+            _encode_identity(peer),
+        )
         if not keys.verify(peer.key_id, peer.mac, LABEL_LISTENER, *transcript):
             raise LacewingdockError(
                 ErrorKind.BAD_LINK, f"{address} does not hold a link key"
@@ -105,32 +110,39 @@
 
 
 def accept(sock: socket.socket, me: Hello, keys: KeyRing) -> Link | None:
-    """Shake hands with a peer that connected.
+    """Authenticate a peer that connected.
 
     Args:
         sock: The accepted socket.
-        me: What this daemon says of itself.
-        keys: Keys that sign and that are accepted.
+        me: Identity of this daemon.
+        keys: Keys for signing and verification.
 
     Returns:
-        The link; None when the peer closed once it knew who is here, as
-        probes do.
+        The authenticated link; None if the peer closed after it received
+        this identity, as `probe` does.
 
     Raises:
-        LacewingdockError: BAD_LINK when the peer does not hold the key.
-        OSError: The connection failed or the time ran out.
+        LacewingdockError: BAD_LINK if the peer does not hold a link key.
+        OSError: The connection failed or timed out.
     """
     sock.settimeout(HANDSHAKE_TIMEOUT_S)
-    peer = _hello(sock)
+    peer = _read_hello(sock)
     hello = replace(me, nonce=secrets.token_bytes(NONCE_BYTES))
-    transcript = (peer.nonce, hello.nonce, _named(peer), _named(hello))
+    transcript = (
+        peer.nonce,
+        hello.nonce,
+        _encode_identity(peer),
+        _encode_identity(hello),
+    )
     key_id, mac = keys.sign(LABEL_LISTENER, *transcript)
     sock.sendall(encode(replace(hello, key_id=key_id, mac=mac)))
     if not sock.recv(1, socket.MSG_PEEK):
         return None
     proof = read_frame(sock, MAX_HELLO_BYTES)
     if not isinstance(proof, Proof):
-        raise LacewingdockError(ErrorKind.BAD_LINK, "no proof of the key")
+        raise LacewingdockError(
+            ErrorKind.BAD_LINK, "handshake: expected a Proof frame"
+        )
     key_name, _, mac = proof.mac.partition(b" ")
     if not keys.verify(
         key_name.decode("utf-8", "replace"), mac, LABEL_DIALER, *transcript
@@ -143,15 +155,18 @@
     return link
 
 
-def _hello(sock: socket.socket) -> Hello:
+def _read_hello(sock: socket.socket) -> Hello:
     message = read_frame(sock, MAX_HELLO_BYTES)
     if not isinstance(message, Hello) or len(message.nonce) != NONCE_BYTES:
-        raise LacewingdockError(ErrorKind.BAD_LINK, "no hello")
+        raise LacewingdockError(
+            ErrorKind.BAD_LINK,
+            "handshake: expected a Hello frame with a full nonce",
+        )
     return message
 
 
-def _named(hello: Hello) -> bytes:
-    """Bind the signature to who the peer says it is."""
+def _encode_identity(hello: Hello) -> bytes:
+    """Encode an identity for the transcript, which binds it to the mac."""
     names = (
         hello.instance,
         hello.incarnation,
--- a/lacewingdock/links/keys.py
+++ b/lacewingdock/links/keys.py
@@ -15,12 +15,13 @@
 
 @dataclass(slots=True)
 class KeyRing:
-    """Keys read from a file and read again when the file changes.
+    """Keys of a file, reloaded when the file changes.
 
     Attributes:
-        path: The file, a line "ID SECRET" each; empty for no keys.
-        keys: Secrets by id, in the file's order; the first signs.
-        stamp: The file's change stamp when it was read.
+        path: Key file with one "ID SECRET" per line; empty for no keys.
+        keys: Secrets by id in file order; the first one signs.
+        stamp: Modification time in nanoseconds and size in bytes of the file
+            when it was last read.
     """
 
     path: str
@@ -28,7 +29,7 @@
     stamp: tuple[int, int] = (0, 0)
 
     def refresh(self) -> None:
-        """Read the file again if it changed, so keys rotate in place."""
+        """Reload the file if it changed, so that keys can be rotated."""
         if not self.path:
             return
         try:
@@ -36,47 +37,54 @@
             stamp = (stat.st_mtime_ns, stat.st_size)
             if stamp == self.stamp:
                 return
-            keys = _parse(_read(self.path))
+            keys = _parse_keys(_read_file(self.path))
         except (OSError, UnicodeDecodeError, LacewingdockError):
-            # A key file caught half-written must not take the keys in force
-            # away: links would be refused fleet-wide. The old ones stay.
+            # A partially written key file must not replace the current keys:
+            # links would be rejected fleet-wide. The old keys stay.
             if self.keys:
                 return
             raise
         self.keys, self.stamp = keys, stamp
 
     def sign(self, *parts: bytes) -> tuple[str, bytes]:
-        """Sign with the first key; without keys the signature is empty."""
+        """Sign with the first key.
+
+        Returns:
+            The key id and the signature; both empty if there are no keys.
+        """
         self.refresh()
         for key_id, secret in self.keys.items():
-            return key_id, _mac(secret, parts)
+            return key_id, _compute_mac(secret, parts)
         return "", b""
 
     def verify(self, key_id: str, mac: bytes, *parts: bytes) -> bool:
-        """Tell whether a signature by any accepted key is genuine."""
+        """Return whether a signature is valid.
+
+        Without a key file every signature is valid.
+        """
         self.refresh()
         if not self.keys:
             return not self.path
         secret = self.keys.get(key_id)
         return secret is not None and hmac.compare_digest(
-            mac, _mac(secret, parts)
+            mac, _compute_mac(secret, parts)
         )
 
 
 def load_keys(path: str) -> KeyRing:
-    """Read a key file.
+    """Load a key file.
 
     Args:
-        path: The file, or empty for a ring without keys.
+        path: Path of the file; empty for a key ring without keys.
 
     Raises:
-        LacewingdockError: BAD_SETTING when it can't be read or is malformed.
+        LacewingdockError: BAD_SETTING if the file is unreadable or malformed.
     """
     ring = KeyRing(path)
     try:
         ring.refresh()
     except OSError as error:
-        # The value is not shown: by mistake it may be the key itself.
+        # The path is not shown: the key itself may be given by mistake.
         raise LacewingdockError(
             ErrorKind.BAD_SETTING, f"key file: {error.strerror}"
         ) from None
@@ -87,8 +95,11 @@
     return ring
 
 
-def _read(path: str) -> str:
-    """Read a small file; a device or a wrong path must not fill memory."""
+def _read_file(path: str) -> str:
+    """Read a file of limited size.
+
+    The limit keeps a device or a wrong path from exhausting memory.
+    """
     with Path(path).open("rb") as file:
         data = file.read(MAX_FILE_BYTES + 1)
     if len(data) > MAX_FILE_BYTES:
@@ -99,15 +110,15 @@
     return data.decode()
 
 
-def _mac(secret: bytes, parts: tuple[bytes, ...]) -> bytes:
+def _compute_mac(secret: bytes, parts: tuple[bytes, ...]) -> bytes:
     digest = hmac.new(secret, digestmod=hashlib.sha256)
     for part in parts:
-        # The length keeps ("ab", "c") and ("a", "bc") apart.
+        # The length prefix distinguishes ("ab", "c") from ("a", "bc").
         digest.update(len(part).to_bytes(4, "big") + part)
     return digest.digest()
 
 
-def _parse(text: str) -> dict[str, bytes]:
+def _parse_keys(text: str) -> dict[str, bytes]:
     keys: dict[str, bytes] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
--- a/lacewingdock/links/link.py
+++ b/lacewingdock/links/link.py
@@ -1,4 +1,4 @@
-"""Support for one link between two daemons."""
+"""Support for a persistent connection between two daemons."""
 
 import contextlib
 import select
@@ -24,24 +24,25 @@
 from lacewingdock.links.wire import LENGTH_BYTES, decode, encode
 
 RECEIVE_BYTES: Final = 65536
-# Over a link with many answers a token comes every fraction of a millisecond,
-# and to be woken for each costs more than to read it. A short pause lets
-# several come in one read; it is small against the 29 ms between a caller's
-# tokens, and a link with few answers does without.
-GATHER_ANSWERS: Final = 16
-GATHER_S: Final = 0.002
-# A peer that takes nothing for this long is frozen or cut off.
+# On a link with many answers a token arrives every fraction of a millisecond,
+# and a wake-up per token costs more than reading it. From this number of
+# outstanding answers on, a short pause in seconds between reads batches several
+# tokens. It is small against the 29 ms between the tokens of a caller.
+READ_PAUSE_ANSWERS: Final = 16
+READ_PAUSE_S: Final = 0.002
+# Seconds without send progress after which a peer counts as frozen or cut off.
 SEND_TIMEOUT_S: Final = 1
-# What waits for a slow peer at most; two frames of the largest size. Beyond it
-# the link is given up, and its answers are fetched by offset over a new one.
+# Maximum backlog for a slow peer, in bytes: two frames of the largest size.
+# When it is exceeded, the link is closed, and its answers are resumed by offset
+# over a new link.
 MAX_BACKLOG_BYTES: Final = 2 * MAX_FRAME_BYTES
-# A peer that heard nothing for so long may give the link up before the next
-# beat reaches it.
+# Seconds without a frame after which the peer may close the link as silent
+# before the next heartbeat arrives.
 LAPSE_S: Final = SILENCE_S - BEAT_BUSY_S
 _HUNG_UP: Final = (
     select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 )
-# Whoever sends in bulk waits while more than this is in the backlog.
+# Backlog in bytes above which bulk senders wait (backpressure).
 BULK_BACKLOG_BYTES: Final = 512 * 1024
 
 Spawn = Callable[[Callable[[], None]], Any]
@@ -49,10 +50,10 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """What went over links.
+    """Traffic counters of links.
 
     Attributes:
-        sent_bytes: Bytes sent, without TCP's own.
+        sent_bytes: Bytes sent, without TCP overhead.
         sent_messages: Messages sent.
         heard_bytes: Bytes received.
         heard_messages: Messages received.
@@ -64,7 +65,7 @@
     heard_messages: int = 0
 
     def add(self, other: "Traffic") -> None:
-        """Add another's figures to these."""
+        """Add the counters of another link."""
         self.sent_bytes += other.sent_bytes
         self.sent_messages += other.sent_messages
         self.heard_bytes += other.heard_bytes
@@ -74,36 +75,36 @@
 class Link:
     """A connection to a peer; one task reads it, any task may send.
 
-    Sending never blocks. What the socket does not take at once waits in a
-    bounded backlog, which a task of its own empties: a task that blocked on a
-    stuck peer would stall what it does for healthy ones, such as reading an
-    upstream that also answers others, or hearing another peer's beats.
+    Sending never blocks. Data that the socket does not accept at once is queued
+    in a bounded backlog, which a separate task flushes: a task that blocked on
+    a stuck peer would stall its work for healthy peers, such as reading an
+    upstream that serves other answers or receiving another peer's heartbeats.
 
     Attributes:
         sock: The connected socket.
-        peer: What the peer said of itself.
-        busy: Answers outstanding over this link.
-        busy_since: Monotonic time at which the first of them began.
-        last_heard: Monotonic time of the last bytes received.
+        peer: Identity of the peer.
+        busy: Number of outstanding answers over this link.
+        busy_since: Monotonic time at which the link last became busy.
+        last_received: Monotonic time of the last bytes received.
         last_sent: Monotonic time of the last frame sent.
-        last_beat: Monotonic time of the last beat sent.
-        traffic: Bytes and messages over this link.
-        delay: How long the peer's frames take.
-        backlog_bytes: Bytes that wait for the socket to take them.
-        closed: Whether the link was given up.
-        reason: Why it was given up.
-        spawn: Starts the task that empties the backlog; None closes the link
-            instead, for links that carry no answers.
+        last_beat: Monotonic time of the last heartbeat sent.
+        traffic: Byte and message counters.
+        delay: Delay estimator of the peer's frames.
+        backlog_bytes: Bytes queued for the socket.
+        closed: Whether the link is closed.
+        reason: Reason of the close.
+        spawn: Starts the task that flushes the backlog. Links that carry no
+            answers have None and are closed instead of queueing.
     """
 
     __slots__ = (
         "_backlog",
-        "_emptying",
+        "_busy_since_boot_s",
+        "_flushing",
         "_lapsed_at",
+        "_last_sent_boot_s",
         "_lock",
-        "_owes_since",
         "_room",
-        "_spoke_at",
         "backlog_bytes",
         "busy",
         "busy_since",
@@ -120,7 +121,7 @@
     )
 
     def __init__(self, sock: socket.socket, peer: Hello) -> None:
-        """Take over a socket whose handshake is done."""
+        """Build a link on a socket after the handshake with a peer."""
         self.sock = sock
         self.peer = peer
         self.busy = Tally()
@@ -131,14 +132,14 @@
         self.reason = ""
         self.traffic = Traffic()
         self.delay = DelayEstimator()
-        self._spoke_at = self._owes_since = since_boot()
+        self._last_sent_boot_s = self._busy_since_boot_s = since_boot()
         self._lapsed_at = 0.0
         self.spawn: Spawn | None = None
         self._lock = threading.Lock()
         self._room = threading.Condition(self._lock)
         self._backlog: list[bytes] = []
         self.backlog_bytes = 0
-        self._emptying = False
+        self._flushing = False
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(
@@ -148,35 +149,36 @@
         )
 
     def begin(self) -> None:
-        """Count an answer that is outstanding from now on."""
+        """Increment the number of outstanding answers."""
         if self.busy.add(1) == 1:
             self.busy_since = time.monotonic()
-            self._owes_since = since_boot()
+            self._busy_since_boot_s = since_boot()
 
     def finish(self) -> None:
-        """Count an answer that is no longer outstanding."""
+        """Decrement the number of outstanding answers."""
         self.busy.add(-1)
 
     def silent_s(self, now: float) -> float:
-        """Return how long the peer owes a sign of life, in seconds.
+        """Return for how many seconds the peer has been silent.
 
-        An idle peer beats rarely. Counted from its last beat, the first
-        request after a pause would find the link silent for seconds already
-        and give a healthy one up; so the count starts with the work.
+        An idle peer sends heartbeats rarely. If the time counted from the last
+        of these, the first request after a pause would find the link silent
+        for seconds and close a healthy link, so on a busy link the time counts
+        from the start of the work at the earliest.
         """
         if self.busy.value > 0:
             return now - max(self.last_received, self.busy_since)
         return now - self.last_received
 
     def lapsed_since(self, since: float) -> bool:
-        """Tell whether the peer may have given this end up as silent.
+        """Return whether the peer may have closed the link as silent.
 
-        While answers are outstanding this end owes the peer a sign of life
-        all the while. One that was paused did not give it; what the peer
-        asked for before that may have gone to another upstream since.
+        While answers are outstanding, this end must keep sending heartbeats.
+        A process that was paused missed them (a lapse), and the peer may have
+        sent its earlier requests to another upstream.
 
         Args:
-            since: Seconds since boot.
+            since: Only lapses from this time on count, in seconds since boot.
         """
         if self._lapsed_at >= since:
             return True
@@ -185,15 +187,17 @@
     def _is_lapsing(self, now: float) -> bool:
         if self.busy.value == 0:
             return False
-        return now - max(self._spoke_at, self._owes_since) > LAPSE_S
+        return (
+            now - max(self._last_sent_boot_s, self._busy_since_boot_s) > LAPSE_S
+        )
 
-    def _note_lapse(self) -> None:
+    def _record_lapse(self) -> None:
         now = since_boot()
         if self._is_lapsing(now):
             self._lapsed_at = now
 
     def is_hung_up(self) -> bool:
-        """Tell whether the peer closed, also while its last frames wait."""
+        """Return whether the peer closed, even if frames are still unread."""
         if self.closed:
             return True
         poll = select.poll()
@@ -201,20 +205,22 @@
             poll.register(self.sock, select.POLLRDHUP)
             return any(events & _HUNG_UP for _, events in poll.poll(0))
         except (OSError, ValueError):
-            # Its reading task has just freed the socket.
+            # The reading task has just closed the socket.
             return True
 
     def send(self, message: Message) -> bool:
-        """Send a message; return False when the link is or gets closed.
+        """Send a message or queue it in the backlog.
 
-        True says that the message is on its way, not that it arrived.
+        Returns:
+            False if the link is closed or was closed by this call. True means
+            that the message was accepted for sending, not that it arrived.
         """
         frame = encode(message)
         with self._lock:
             if self.closed:
                 return False
-            if self._emptying:
-                return self._keep_locked(frame)
+            if self._flushing:
+                return self._queue_locked(frame)
             try:
                 sent = self.sock.send(frame, socket.MSG_DONTWAIT)
             except BlockingIOError:
@@ -225,37 +231,37 @@
             self._count_sent(len(frame))
             if sent == len(frame):
                 return True
-            return self._keep_locked(frame[sent:])
+            return self._queue_locked(frame[sent:])
 
     def _count_sent(self, size: int) -> None:
-        self._note_lapse()
-        self._spoke_at = since_boot()
+        self._record_lapse()
+        self._last_sent_boot_s = since_boot()
         self.last_sent = time.monotonic()
         self.traffic.sent_bytes += size
         self.traffic.sent_messages += 1
 
-    def _keep_locked(self, data: bytes) -> bool:
-        """Keep what the socket does not take now."""
+    def _queue_locked(self, data: bytes) -> bool:
+        """Queue data in the backlog; return False if that closed the link."""
         waiting = self.backlog_bytes
         if waiting and waiting + len(data) > MAX_BACKLOG_BYTES:
             self._close_locked("backlog full")
             return False
         self._backlog.append(data)
         self.backlog_bytes += len(data)
-        if not self._emptying:
+        if not self._flushing:
             if self.spawn is None:
                 self._close_locked("send buffer full")
                 return False
-            self._emptying = True
-            self.spawn(self._empty)
+            self._flushing = True
+            self.spawn(self._flush)
         return True
 
-    def _empty(self) -> None:
-        """Send the backlog until it is empty or the peer takes nothing."""
+    def _flush(self) -> None:
+        """Send the backlog until it is empty or the link closes."""
         while True:
             with self._lock:
                 if self.closed or not self._backlog:
-                    self._emptying = False
+                    self._flushing = False
                     self._room.notify_all()
                     return
                 data = b"".join(self._backlog)
@@ -266,34 +272,34 @@
                 self.close(f"send: {error}")
                 continue
             with self._lock:
-                self._spoke_at = since_boot()
+                self._last_sent_boot_s = since_boot()
                 self.last_sent = time.monotonic()
                 self.backlog_bytes -= len(data)
                 self._room.notify_all()
 
     def wait_for_room(self) -> bool:
-        """Wait until bulk may be sent; return False when the link closed."""
+        """Wait for room in the backlog; return False if the link closed."""
         with self._room:
             while not self.closed and self.backlog_bytes > BULK_BACKLOG_BYTES:
                 self._room.wait(SEND_TIMEOUT_S)
             return not self.closed
 
     def beat(self, frame: bytes) -> None:
-        """Send an encoded frame unless the link is being sent on or is full.
+        """Send an encoded heartbeat unless a send is in progress or pending.
 
-        A link that is being sent on or is full needs no beat, and the pacer,
-        which beats many links in turn, need not wait for it.
+        A link with a send in progress or a backlog needs no heartbeat, and the
+        heartbeat task, which serves many links in turn, must not wait for it.
         """
         if not self._lock.acquire(blocking=False):
             return
         try:
-            if self.closed or self._emptying:
+            if self.closed or self._flushing:
                 return
             sent = self.sock.send(frame, socket.MSG_DONTWAIT)
             self._count_sent(sent)
             self.last_beat = self.last_sent
             if sent < len(frame):
-                self._keep_locked(frame[sent:])
+                self._queue_locked(frame[sent:])
         except BlockingIOError:
             pass
         except OSError as error:
@@ -305,7 +311,7 @@
         """Yield messages until the link closes.
 
         Raises:
-            LacewingdockError: BAD_LINK when the peer sends no valid frame.
+            LacewingdockError: BAD_LINK if the peer sends an invalid frame.
         """
         pending = bytearray()
         while not self.closed:
@@ -320,48 +326,49 @@
             self.last_received = time.monotonic()
             pending += data
             self.traffic.heard_bytes += len(data)
-            for message in _split(pending):
+            for message in _split_frames(pending):
                 self.traffic.heard_messages += 1
                 if isinstance(message, Attempt | Beat):
                     self.delay.record_stamp(message.sent_ms)
                 yield message
-            if self.busy.value >= GATHER_ANSWERS:
-                time.sleep(GATHER_S)
+            if self.busy.value >= READ_PAUSE_ANSWERS:
+                time.sleep(READ_PAUSE_S)
 
     def close(self, reason: str) -> None:
-        """Give the link up; the reading task ends soon after."""
-        # Not under the lock: a sender may hold it while blocked, and the
-        # shutdown is what unblocks it.
+        """Close the link; the reading task ends soon after."""
+        # The lock is not acquired here: a blocked sender may hold it, and only
+        # the shutdown unblocks that sender.
         if self.closed:
             return
         self._close_locked(reason)
 
     def _close_locked(self, reason: str) -> None:
-        self._note_lapse()
+        self._record_lapse()
         self.closed = True
         self.reason = reason
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
     def end(self) -> None:
-        """Say that nothing more is sent; the peer reads all and closes.
+        """Flush the backlog and shut down the sending side.
 
-        A socket closed with unread beats in it resets the connection, and
-        the reset can overtake the end of an answer on its way to the peer.
+        The peer reads all data and then closes. Closing a socket that holds
+        unread heartbeats would reset the connection, and the reset can
+        overtake the end of an answer on its way to the peer.
         """
         with self._room:
-            self._room.wait_for(lambda: not self._emptying, SEND_TIMEOUT_S)
+            self._room.wait_for(lambda: not self._flushing, SEND_TIMEOUT_S)
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def dispose(self) -> None:
-        """Free the socket; only the reading task calls this, at its end."""
+        """Close the socket; only called by the reading task when it ends."""
         self.close("disposed")
         self.sock.close()
 
 
-def _split(pending: bytearray) -> Iterator[Message]:
-    """Yield the whole frames in a buffer and remove them from it."""
+def _split_frames(pending: bytearray) -> Iterator[Message]:
+    """Decode and remove the complete frames at the start of a buffer."""
     start = 0
     try:
         while len(pending) - start >= LENGTH_BYTES:
@@ -370,7 +377,8 @@
             )
             if length > MAX_FRAME_BYTES:
                 raise LacewingdockError(
-                    ErrorKind.BAD_LINK, f"frame of {length} bytes"
+                    ErrorKind.BAD_LINK,
+                    f"frame of {length} bytes is too long",
                 )
             end = start + LENGTH_BYTES + length
             if len(pending) < end:
@@ -383,17 +391,17 @@
 
 
 def read_frame(sock: socket.socket, limit: int) -> Message:
-    """Read exactly one frame, for handshakes.
+    """Read exactly one handshake frame.
 
     Args:
-        sock: A socket with a timeout, which bounds the whole frame. Were it
-            to begin anew with each byte, a peer that drips could hold the
-            task for hours, and enough of them all tasks.
-        limit: Largest frame accepted, in bytes.
+        sock: A socket with a timeout, which applies to the whole frame. If it
+            restarted with each byte, a peer that sends byte by byte could
+            block the task for hours, and many such peers all tasks.
+        limit: Maximum size of the frame, in bytes.
 
     Raises:
-        LacewingdockError: BAD_LINK for a frame too long or cut off.
-        OSError: The connection failed or the time ran out.
+        LacewingdockError: BAD_LINK for a frame that is too long or truncated.
+        OSError: The connection failed or timed out.
     """
     timeout_s = sock.gettimeout() or HANDSHAKE_TIMEOUT_S
     end = time.monotonic() + timeout_s
@@ -412,12 +420,12 @@
     while len(data) < count:
         left = end - time.monotonic()
         if left <= 0:
-            raise TimeoutError("the handshake takes too long")
+            raise TimeoutError("the handshake timed out")
         sock.settimeout(left)
         piece = sock.recv(count - len(data))
         if not piece:
             raise LacewingdockError(
-                ErrorKind.BAD_LINK, "peer closed in the handshake"
+                ErrorKind.BAD_LINK, "the peer closed during the handshake"
             )
         data += piece
     return data
--- a/lacewingdock/links/messages.py
+++ b/lacewingdock/links/messages.py
@@ -1,21 +1,21 @@
-"""Support for the messages that daemons exchange over links."""
+"""Support for the messages exchanged between daemons over links."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True)
 class Hello:
-    """Name a peer; the first frame from either side.
+    """Identity of a peer; the first frame from either side.
 
     Attributes:
         instance: Name of the sending instance.
-        incarnation: Unique to each start of the process.
+        incarnation: Identifier unique to each start of the process.
         role: "entry" or "sidecar".
         failure_domain: Failure domain of the sender.
-        nonce: 16 random bytes for the other side to sign.
-        key_id: Which link key signs.
-        mac: The answering side's signature over the dialer's nonce; empty
-            in the dialer's own hello.
+        nonce: 16 random bytes that the other side signs.
+        key_id: Id of the link key that signs.
+        mac: Signature of the listener over the dialer's nonce; empty in the
+            hello of the dialer.
     """
 
     instance: str
@@ -29,11 +29,11 @@
 
 @dataclass(slots=True)
 class Proof:
-    """Carry the dialer's signature over the listener's nonce.
+    """Signature of the dialer over the listener's nonce.
 
     Attributes:
-        mac: The signature, behind the name of its key.
-        sent_ms: Sender's milliseconds since boot; 0 when it does not tell.
+        mac: Id of the key, a space and the signature.
+        sent_ms: Sender's time in milliseconds since boot; 0 if unknown.
     """
 
     mac: bytes
@@ -42,28 +42,28 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Ask a sidecar to run a request on its upstream.
+    """Request that a sidecar is to run on its upstream.
 
     Attributes:
-        attempt: Id of this attempt; frames of the answer carry it.
+        attempt: Id of the attempt, which the frames of the answer carry.
         request: Id of the caller's request, for bills and logs.
-        workspace: Name of the caller's workspace.
+        workspace: Workspace of the caller.
         target: Name of the model version or plain service.
         method: HTTP method for the upstream.
         path: Path and query for the upstream.
-        body: The request's body.
+        body: Body of the request.
         content_type: Media type of the body.
-        key: The caller's idempotency key, or empty.
-        priority: 0 is the most urgent.
-        deadline_ms: Milliseconds left, counted from receipt.
-        repeatable: Whether running the request twice does no harm.
+        key: Idempotency key of the caller, or empty.
+        priority: Priority; 0 is the highest.
+        deadline_ms: Milliseconds left until the deadline at receipt.
+        repeatable: Whether the request is idempotent.
         traceparent: W3C trace context, or empty.
-        revision: Configuration revision the entry decided at.
-        resumable: Whether the answer is kept if the caller goes away.
+        revision: Configuration revision of the entry's decision.
+        resumable: Whether the answer is kept after the caller disconnects.
         step: Index of the cascade's step, for bills.
-        ordinal: How many attempts of this step went before, for bills.
-        sent_ms: Sender's milliseconds since boot when it was sent; 0 when it
-            does not tell.
+        ordinal: Number of earlier attempts of the step, for bills.
+        sent_ms: Sender's time of sending in milliseconds since boot; 0 if
+            unknown.
     """
 
     attempt: str
@@ -88,12 +88,12 @@
 
 @dataclass(slots=True)
 class Chunk:
-    """Carry one piece of an answer.
+    """One chunk of an answer.
 
     Attributes:
-        attempt: Id of the attempt it belongs to.
-        offset: Index of the piece in the answer, from 0.
-        data: One server-sent event's data, or bytes of a body.
+        attempt: Id of the attempt.
+        offset: Index of the chunk in the answer, from 0.
+        data: Data of one server-sent event, or bytes of a body.
     """
 
     attempt: str
@@ -103,15 +103,15 @@
 
 @dataclass(slots=True)
 class Finish:
-    """End an answer.
+    """End of a complete answer.
 
     Attributes:
         attempt: Id of the attempt.
-        chunks: Number of pieces in the whole answer.
+        chunks: Number of chunks of the complete answer.
         status: HTTP status from the upstream.
         content_type: Media type of the answer.
-        input_tokens: Tokens read, 0 for services.
-        output_tokens: Tokens generated, 0 for services.
+        input_tokens: Number of input tokens; 0 for services.
+        output_tokens: Number of generated tokens; 0 for services.
     """
 
     attempt: str
@@ -124,17 +124,17 @@
 
 @dataclass(slots=True)
 class Refusal:
-    """End an attempt without a whole answer.
+    """End of an attempt without a complete answer.
 
     Attributes:
         attempt: Id of the attempt.
         code: An `ErrorKind`.
-        ran: "no", "yes" or "unknown".
-        detail: What happened, for people.
-        retry_after_ms: Milliseconds until trying again can help; -1 if it
-            can't.
-        revision: Configuration revision in force at the sidecar; 0 if
-            that played no part.
+        ran: Whether the request ran: "no", "yes" or "unknown".
+        detail: Human-readable description of the error.
+        retry_after_ms: Milliseconds after which a retry can succeed; -1 if a
+            retry cannot succeed.
+        revision: Configuration revision in force at the sidecar; 0 if not
+            applicable.
     """
 
     attempt: str
@@ -147,16 +147,16 @@
 
 @dataclass(slots=True)
 class Resume:
-    """Ask for the rest of an answer over this link.
+    """Request for the rest of an answer over this link.
 
     Attributes:
-        attempt: Id that the frames to come shall carry.
-        original: Id of the attempt that was started.
-        workspace: The caller's workspace, which must be the attempt's.
-        offset: Index of the first piece wanted.
+        attempt: Id that the following frames must carry.
+        original: Id of the original attempt.
+        workspace: Workspace of the caller, which must match the attempt.
+        offset: Index of the first requested chunk.
         incarnation: Incarnation of the sidecar that the attempt was sent
-            to; empty when that is not known.
-        age_ms: Milliseconds since it was sent.
+            to; empty if unknown.
+        age_ms: Milliseconds since the attempt was sent.
     """
 
     attempt: str
@@ -169,15 +169,17 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Say that nobody waits for an attempt any more.
+    """Notice that no recipient waits for an attempt any longer.
 
     Attributes:
-        attempt: The id that its frames carry over this link.
-        keep: Whether somebody may come back for the rest.
-        ended: Whether its end was received, so that it need not be kept.
-        left: Whether the caller went away, who pays for what was generated.
-        settle: Whether the sidecar shall tell, by a refusal, once the attempt
-            can't run any more. It was given up without its end.
+        attempt: Id that the frames of the attempt carry over this link.
+        keep: Whether the rest of the answer may still be requested.
+        ended: Whether the end was received, so that the answer need not be
+            kept.
+        left: Whether the caller disconnected; the generated output is billed
+            to the caller.
+        settle: Whether the sidecar must send a refusal once the attempt can
+            no longer run. Set when the entry abandoned it without its end.
     """
 
     attempt: str
@@ -189,15 +191,15 @@
 
 @dataclass(slots=True)
 class Status:
-    """Tell what a sidecar serves; sent on each change and on connect.
+    """Status of a sidecar; sent on each change and on connect.
 
     Attributes:
-        targets: Versions loaded, or the service.
-        running: Requests on the upstream.
-        queued: Requests waiting.
-        capacity: Requests the upstream runs at once.
-        leaving: Whether the sidecar takes no new work.
-        homes: Claim partitions held, each "SERVICE/PARTITION@TERM".
+        targets: Loaded versions, or the service.
+        running: Number of requests running on the upstream.
+        queued: Number of queued requests.
+        capacity: Number of requests that the upstream runs concurrently.
+        leaving: Whether the sidecar drains and accepts no new requests.
+        homes: Claim partitions owned, each as "SERVICE/PARTITION@TERM".
     """
 
     targets: list[str] = field(default_factory=list)
@@ -210,13 +212,13 @@
 
 @dataclass(slots=True)
 class Beat:
-    """Show that the link is alive.
+    """Heartbeat of a link.
 
     Attributes:
-        running: Requests on the sender's upstream.
-        queued: Requests waiting at the sender.
+        running: Number of requests running on the sender's upstream.
+        queued: Number of requests queued at the sender.
         revision: Configuration revision in force at the sender.
-        sent_ms: Sender's milliseconds since boot; 0 when it does not tell.
+        sent_ms: Sender's time in milliseconds since boot; 0 if unknown.
     """
 
     running: int = 0
@@ -227,12 +229,12 @@
 
 @dataclass(slots=True)
 class Item:
-    """Carry one configuration item.
+    """One configuration item.
 
     Attributes:
         key: "KIND/NAME".
-        revision: The platform's revision of the item.
-        value: JSON; empty when the item was deleted.
+        revision: Revision of the item in the platform's store.
+        value: JSON; empty if the item was deleted.
     """
 
     key: str
@@ -242,7 +244,7 @@
 
 @dataclass(slots=True)
 class Delta:
-    """Carry every item that changed after `since`, up to `upto`."""
+    """Items that changed after revision `since`, up to revision `upto`."""
 
     since: int
     upto: int
@@ -251,25 +253,24 @@
 
 @dataclass(slots=True)
 class Pull:
-    """Ask for every item that changed after `since`."""
+    """Request for all items that changed after revision `since`."""
 
     since: int
 
 
 @dataclass(slots=True)
 class Order:
-    """Order an upstream's engine, or a daemon, to do something.
+    """Command to an engine of an upstream or to a daemon.
 
     Attributes:
-        order: Id of the order; its answer carries it.
+        order: Id of the order, which the answer carries.
         action: "load", "unload" or "role" for an engine, "stop" for a
             daemon.
-        version: The version to load or unload.
-        role: The engine's new role.
-        fencing: Fencing number of the lease whose holder orders; unused
-            for "stop".
-        incarnation: The process that shall stop; no later one under its
-            name does.
+        version: Version to load or unload.
+        role: New role of the engine.
+        fencing: Fencing token of the lease of the sender; unused for "stop".
+        incarnation: Incarnation of the process to stop; later processes of
+            the same name ignore the order.
     """
 
     order: str
@@ -282,14 +283,14 @@
 
 @dataclass(slots=True)
 class Ordered:
-    """Answer an order.
+    """Result of an order.
 
     Attributes:
         order: Id of the order.
-        state: What came of it: "loading", "loaded", "unloaded", "busy",
-            "failed", "role" or "stopping"; empty when it was refused.
-        code: An `ErrorKind` when it was refused, else empty.
-        detail: What happened, for people.
+        state: Result: "loading", "loaded", "unloaded", "busy", "failed",
+            "role" or "stopping"; empty if the order was rejected.
+        code: An `ErrorKind` if the order was rejected, else empty.
+        detail: Human-readable description.
     """
 
     order: str
@@ -300,16 +301,16 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """Tell what was in flight when an upstream crashed.
+    """Requests that were in flight when an upstream crashed.
 
     Attributes:
         crash: Id of the crash, "INSTANCE/ERA".
-        isolated: Whether the request ran alone there, as a suspect.
-        excused: Whether the requests were shown not to be the cause.
+        isolated: Whether the request ran alone on the upstream as a suspect.
+        excused: Whether the requests were ruled out as the cause.
         fingerprints: Fingerprints of the requests.
-        age_ms: Milliseconds since the crash was seen.
-        unresolved: Whether it is not known yet if there was a crash: the
-            sidecar fell silent, or could not tell.
+        age_ms: Milliseconds since the crash was detected.
+        unresolved: Whether the crash is not confirmed yet, because the
+            sidecar became silent or could not determine the cause.
     """
 
     crash: str
@@ -322,13 +323,13 @@
 
 @dataclass(slots=True)
 class Bills:
-    """Offer bills to an entry, to hold and to write to the ledger.
+    """Bills offered to an entry, to hold and to write to the ledger.
 
     Attributes:
-        log: The one log that they may be written to.
-        after: None of them is in a slot of the log before this one.
-        urgent: Whether the sender is about to end.
-        rows: JSON of each bill.
+        log: The only log that the bills may be written to.
+        after: Slot of the log; earlier slots hold none of the bills.
+        urgent: Whether the sender is about to stop.
+        rows: Bills as JSON.
     """
 
     log: str
@@ -339,12 +340,12 @@
 
 @dataclass(slots=True)
 class BillsKept:
-    """Name the log that an entry writes, and bills seen in the ledger.
+    """Log that an entry writes, and bills found in the ledger.
 
     Attributes:
-        log: The log that new bills are to be offered for.
-        slot: A slot that all of its next rows come at or after.
-        attempts: Attempts whose bills are in the ledger, whichever log.
+        log: Log for which new bills must be offered.
+        slot: Lowest slot of the log that later rows are written to.
+        attempts: Attempts whose bills are in the ledger, in any log.
     """
 
     log: str
--- a/lacewingdock/links/refusals.py
+++ b/lacewingdock/links/refusals.py
@@ -1,4 +1,4 @@
-"""Support for telling an entry that an attempt ends without a whole answer."""
+"""Support for building the frames that report failed attempts."""
 
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.clock import MS_PER_S
@@ -8,13 +8,13 @@
 def build_refusal(
     attempt: str, error: LacewingdockError, revision: int = 0
 ) -> Refusal:
-    """Return the frame that ends an attempt with an error.
+    """Build the frame that ends an attempt with an error.
 
     Args:
-        attempt: Id that the frame carries.
-        error: The error.
-        revision: Configuration revision that it was decided at; 0 if that
-            played no part.
+        attempt: Attempt id that the frame carries.
+        error: The error to report.
+        revision: Configuration revision of the decision; 0 if not
+            applicable.
     """
     retry = error.retry_after_s
     retry_ms = -1 if retry is None else int(retry * MS_PER_S)
--- a/lacewingdock/links/wire.py
+++ b/lacewingdock/links/wire.py
@@ -1,4 +1,4 @@
-"""Support for encoding messages as frames."""
+"""Support for encoding and decoding messages as frames."""
 
 import dataclasses
 import typing
@@ -18,13 +18,15 @@
 
 LENGTH_BYTES: Final = 4
 _WORD_BYTES: Final = 8
-# Structs and lists are counted again when they are reached by another field.
+# Extra words allowed, as the reader counts structs and lists again when another
+# field refers to them.
 _SPARE_WORDS: Final = 64
 
-# One chunk a token is all but all of the traffic, and Cap'n Proto's binding
-# takes fifty times as long for one as MessagePack's (docs/design/
-# relay-cost.md). A Cap'n Proto message opens with its number of segments less
-# one, a small number; an array of three opens with this byte.
+# Almost all traffic consists of chunks, one per token, and the Cap'n Proto
+# binding takes fifty times as long per chunk as MessagePack (docs/design/
+# relay-cost.md). The first byte distinguishes the encodings: a Cap'n Proto
+# message starts with its number of segments minus one, a small number; a
+# MessagePack array of three elements starts with this byte.
 CHUNK_TAG: Final = b"\x93"
 _encode_chunk: Final = msgspec.msgpack.Encoder().encode
 _decode_chunk: Final = msgspec.msgpack.Decoder(
@@ -32,71 +34,73 @@
 ).decode
 
 
-def _camel(name: str) -> str:
+def _camel_case(name: str) -> str:
     head, *rest = name.split("_")
     return head + "".join(part.capitalize() for part in rest)
 
 
-# For each message class: its union field and (attribute, schema field) pairs.
-_PLANS: Final[dict[type, tuple[str, tuple[tuple[str, str], ...]]]] = {
+# Per message class: union field name and (attribute, schema field) pairs.
+_FIELD_MAPS: Final[dict[type, tuple[str, tuple[tuple[str, str], ...]]]] = {
     cls: (
         cls.__name__.lower(),
-        tuple((f.name, _camel(f.name)) for f in dataclasses.fields(cls)),
+        tuple((f.name, _camel_case(f.name)) for f in dataclasses.fields(cls)),
     )
     for cls in (*typing.get_args(Message), messages.Item)
 }
-_CLASSES: Final = {plan[0]: cls for cls, plan in _PLANS.items()}
+_CLASSES: Final = {field_map[0]: cls for cls, field_map in _FIELD_MAPS.items()}
 
 
 def encode(message: Message) -> bytes:
     """Encode a message as a length-prefixed frame.
 
     Args:
-        message: Any message; its fields must fit the schema.
+        message: Any message; the field values must fit the schema.
 
     Returns:
-        Four bytes of big-endian length, then the Cap'n Proto message, or
+        The length as four big-endian bytes, then the Cap'n Proto message, or
         MessagePack for a chunk.
     """
     if type(message) is Chunk:
         payload = _encode_chunk((message.attempt, message.offset, message.data))
         return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
     frame = SCHEMA.Frame.new_message()
-    name, plan = _PLANS[type(message)]
+    name, field_map = _FIELD_MAPS[type(message)]
     body = frame.init(name)
-    for attribute, field in plan:
-        setattr(body, field, _plain(getattr(message, attribute)))
+    for attribute, field in field_map:
+        setattr(body, field, _to_schema(getattr(message, attribute)))
     payload = frame.to_bytes()
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
 
-def _plain(value: Any) -> Any:
-    """Turn lists of items into what the codec takes."""
-    if isinstance(value, list) and value and type(value[0]) in _PLANS:
-        plan = _PLANS[type(value[0])][1]
-        return [{f: getattr(item, a) for a, f in plan} for item in value]
+def _to_schema(value: Any) -> Any:
+    """Convert lists of items to dictionaries for the codec."""
+    if isinstance(value, list) and value and type(value[0]) in _FIELD_MAPS:
+        field_map = _FIELD_MAPS[type(value[0])][1]
+        return [{f: getattr(item, a) for a, f in field_map} for item in value]
     return value
 
 
 def decode(payload: bytes) -> Message:
-    """Decode the bytes of one frame, without its length.
+    """Decode the payload of one frame, without the length prefix.
 
     Args:
         payload: The Cap'n Proto message, or MessagePack for a chunk.
 
     Returns:
-        The message.
+        The decoded message.
 
     Raises:
-        LacewingdockError: BAD_LINK when the bytes are no frame.
+        LacewingdockError: BAD_LINK if the payload is not a valid frame.
     """
     if len(payload) > MAX_FRAME_BYTES:
         raise LacewingdockError(
-            ErrorKind.BAD_LINK, f"frame of {len(payload)} bytes"
+            ErrorKind.BAD_LINK,
+            f"frame of {len(payload)} bytes is too long",
         )
     # Elements without words take no bytes, so a frame of 64 bytes can claim
-    # millions of items, and pointers can meet in one place. Such a peer would
-    # fill the memory; what is read is held to what the payload can hold.
+    # millions of items, and several pointers can refer to the same data. A
+    # peer could exhaust memory this way; the traversal limit bounds the words
+    # read by the size of the payload.
     limit = 2 * (len(payload) // _WORD_BYTES) + _SPARE_WORDS
     try:
         if payload[:1] == CHUNK_TAG:
@@ -107,7 +111,7 @@
             name = frame.which()
             body = getattr(frame, str(name))
             cls = _CLASSES[str(name)]
-            return typing.cast("Message", _build(cls, body))
+            return typing.cast("Message", _build_message(cls, body))
     except (
         capnp.KjException,
         KeyError,
@@ -119,12 +123,14 @@
         ) from error
 
 
-def _build(cls: type, body: Any) -> Any:
-    """Build a message from a reader, copying what it points to."""
-    return cls(*(_copy(getattr(body, f)) for _, f in _PLANS[cls][1]))
+def _build_message(cls: type, body: Any) -> Any:
+    """Build a message from a reader, copying the data it refers to."""
+    return cls(
+        *(_from_schema(getattr(body, f)) for _, f in _FIELD_MAPS[cls][1])
+    )
 
 
-def _copy(value: Any) -> Any:
+def _from_schema(value: Any) -> Any:
     match value:
         case bool() | int() | str() | bytes():
             return value
@@ -132,8 +138,8 @@
             return bytes(value)
         case _:
             return [
-                _build(messages.Item, entry)
+                _build_message(messages.Item, entry)
                 if hasattr(entry, "to_dict")
-                else _copy(entry)
+                else _from_schema(entry)
                 for entry in value
             ]
--- a/lacewingdock/settings.py
+++ b/lacewingdock/settings.py
@@ -21,10 +21,13 @@
     r"|[1-5][0-9]{4}|[0-9]{1,4})"
 )
 _URL: Final = rf"https?://{_HOST}:{_PORT}"
-# A request goes to a sidecar in one frame, its other fields beside the body.
+# Maximum size of a body in bytes. A request is sent to a sidecar in one frame,
+# which needs room for the other fields besides the body.
 MAX_BODY_LIMIT: Final = MAX_FRAME_BYTES - 256 * 1024
 
-Host = Annotated[str, Meta(pattern=rf"^{_HOST}\Z", description="an IP number")]
+Host = Annotated[
+    str, Meta(pattern=rf"^{_HOST}\Z", description="an IPv4 address")
+]
 Url = Annotated[
     str,
     Meta(pattern=rf"^{_URL}\Z", description="a URL http(s)://IP:PORT"),
@@ -39,7 +42,8 @@
 Port = Annotated[int, Meta(ge=0, le=65535)]
 Seconds = Annotated[float, Meta(gt=0.0, le=86400.0)]
 
-# Taken from the environment only; flags can be seen by others.
+# Settings read from the environment only, as other users of the machine can see
+# flags.
 SECRET_SETTINGS: Final = frozenset({"operator_key"})
 
 T = TypeVar("T")
@@ -47,23 +51,23 @@
 
 @dataclass(slots=True, kw_only=True)
 class DaemonSettings:
-    """Settings that both daemons take.
+    """Settings shared by the entry and sidecar daemons.
 
     Attributes:
         instance: Name of this instance, unique in the deployment.
-        failure_domain: Failure domain the instance stands in.
-        host: IP number that the instance listens on and is reached at.
+        failure_domain: Failure domain of the instance.
+        host: IP address that the instance listens on and is reached at.
         platform: URL of the platform's object API.
         admin_port: Port of /metrics, /healthz and /readyz.
-        link_port: Port for links from other daemons; 0 takes a free one.
-        link_keys_file: File of link keys, a line "ID SECRET" each; the
+        link_port: Port for links from other daemons; 0 selects a free port.
+        link_keys_file: File of link keys, one "ID SECRET" per line; the
             first signs, all are accepted.
-        plain_links: Whether links may go without keys.
-        start_peers: Peers that must show their configuration before it is
-            taken in force while the platform does not answer.
-        grace_s: Seconds that a stop waits for running requests.
-        linger_s: Seconds that a stop serves on at least, until those who
-            send have heard of it.
+        plain_links: Whether links without keys are allowed.
+        start_peers: Number of peers that must send their configuration
+            before it is applied while the platform does not answer.
+        grace_s: Maximum seconds that a stop waits for running requests.
+        linger_s: Minimum seconds that a stopping daemon continues to serve,
+            until senders have learnt of the stop.
         log_level: Lowest level that is logged.
     """
 
@@ -87,23 +91,24 @@
 
     Attributes:
         port: Port for callers.
-        threads: Caller connections served at once.
-        session_keys_file: File of session-token keys, as link_keys_file.
-        ratings: URL of the rating service; empty when there is none.
+        threads: Number of caller connections served concurrently.
+        session_keys_file: File of session-token keys, in the format of
+            link_keys_file.
+        ratings: URL of the rating service; empty for none.
         tls_cert: PEM certificate chain for the callers' port.
         tls_key: PEM private key for the callers' port.
-        plain_callers: Whether callers may come without TLS.
-        max_body_bytes: Largest request body that is read.
-        slow_caller_s: Seconds a caller may stall a read or write.
-        request_s: Seconds by which a whole request must have come.
-        deadline_s: Seconds that an answer may take where the caller does not
-            say; it may ask for as much as ten times this.
-        subset: Links kept for each model version.
-        rated_share: Part of the given chat answers that the rating service
-            rates afterwards, for the report's quality objective.
+        plain_callers: Whether callers may connect without TLS.
+        max_body_bytes: Maximum size of a request body, in bytes.
+        slow_caller_s: Seconds that a caller may stall a read or write.
+        request_s: Timeout in seconds for receiving a complete request.
+        deadline_s: Default deadline of an answer in seconds; a caller may
+            request up to ten times this value.
+        subset: Number of links kept per model version.
+        rated_share: Share of the delivered chat answers that the rating
+            service rates afterwards, for the quality objective of the report.
         good_rating: Lowest rating of a good answer in that sample.
-        linger_s: As for all daemons; longer than the balancer takes to
-            notice that /readyz fails.
+        linger_s: As for all daemons; must exceed the time that the load
+            balancer needs to notice that /readyz fails.
     """
 
     linger_s: Seconds = 5.0
@@ -130,13 +135,14 @@
     """Settings of the sidecar daemon.
 
     Attributes:
-        upstream: URL of the upstream instance that this sidecar guards.
-        upstream_kind: "model" for an engine or "service" for a plain one.
+        upstream: URL of the upstream instance behind this sidecar.
+        upstream_kind: "model" for an engine or "service" for a plain service.
         service: Name of the plain service; empty for an engine.
-        capacity: Requests the upstream runs at once.
-        queue: Requests that may wait for the upstream.
-        resume_s: Seconds an answer is kept for a caller to come back.
-        replay_bytes: Bytes of kept answers, all together.
+        capacity: Number of requests that the upstream runs concurrently.
+        queue: Maximum number of requests queued for the upstream.
+        resume_s: Seconds for which an answer is kept so that a caller can
+            resume it.
+        replay_bytes: Maximum total size of the kept answers, in bytes.
     """
 
     upstream: Url
@@ -150,7 +156,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ClientSettings:
-    """Settings of commands that talk to the platform.
+    """Settings of commands that call the platform.
 
     Attributes:
         platform: URL of the platform's object API.
@@ -165,8 +171,8 @@
 
     Attributes:
         platform: URL of the platform's object API.
-        day: Day (UTC) as YYYYMMDD; empty takes today.
-        json: Whether JSON is printed in place of a table.
+        day: Day (UTC) as YYYYMMDD; empty selects today.
+        json: Whether to print JSON instead of a table.
     """
 
     day: Annotated[
@@ -178,16 +184,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class AskSettings:
-    """Settings of the operators' command.
+    """Settings of the command for operators' queries and commands.
 
     Attributes:
         entry: URL of an entry's admin port.
-        operator_key: The operator's key.
-        id: Id under which an order takes effect once, however often it is
-            sent; empty takes a new one.
-        json: Whether JSON is printed in place of a table.
-        watch_s: Seconds after which it is asked again, until interrupted; 0
-            asks once.
+        operator_key: Key of the operator.
+        id: Idempotency id: a command sent repeatedly with the same id takes
+            effect once; empty generates a new id.
+        json: Whether to print JSON instead of a table.
+        watch_s: Seconds between repeats of the query, until interrupted; 0
+            sends it once.
     """
 
     entry: Url
@@ -199,19 +205,19 @@
 
 @dataclass(slots=True, kw_only=True)
 class ReportSettings:
-    """Settings of the report on service-level burn.
+    """Settings of the report on error-budget burn rates.
 
     Attributes:
         platform: URL of the platform's object API.
         targets: Admin ports to read, each IP:PORT, separated by commas;
-            empty takes the platform's list.
-        manifest: Manifest with the workspaces' objectives; empty takes those
-            in force.
-        samples: File that readings are kept in; empty reports from this
-            reading alone.
-        html: File to write the page with plots to.
-        json: Whether JSON is printed in place of a table.
-        every_s: Seconds between readings until interrupted; 0 reads once.
+            empty uses the platform's list.
+        manifest: Manifest with the objectives of the workspaces; empty uses
+            the objectives in force.
+        samples: File that stores the readings; empty uses the current reading
+            alone.
+        html: File for the HTML page with plots.
+        json: Whether to print JSON instead of a table.
+        every_s: Seconds between readings, until interrupted; 0 reads once.
     """
 
     platform: OptionalUrl = ""
@@ -231,11 +237,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class RouterSettings:
-    """Settings of the router daemon that do not come from the platform.
+    """Settings of the router daemon that the platform does not provide.
 
     Attributes:
-        config: The settings file that the platform writes.
-        metrics_port: Port of /metrics and /state; 0 serves none.
+        config: Path of the settings file written by the platform.
+        metrics_port: Port of /metrics and /state; 0 disables them.
         log_level: Lowest level that is logged.
     """
 
@@ -246,11 +252,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class ShowSettings:
-    """Settings of the command that shows what a router believes.
+    """Settings of the command that shows the state of a router.
 
     Attributes:
         router: URL of a router's metrics port.
-        json: Whether JSON is printed in place of tables.
+        json: Whether to print JSON instead of tables.
     """
 
     router: Url
@@ -259,14 +265,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class SimulateSettings:
-    """Settings of the command that plays days of a model.
+    """Settings of the command that simulates days of a deployment.
 
     Attributes:
-        seeds: Days to play of each policy.
-        first_seed: Seed of the first.
-        policies: Ways to decide, separated by commas.
-        jobs: Days that are played at once.
-        out: File that days are kept in; those that it has are not played.
+        seeds: Number of simulated days per policy.
+        first_seed: Seed of the first day.
+        policies: Routing policies, separated by commas.
+        jobs: Number of days simulated concurrently.
+        out: File that stores simulated days; stored days are not simulated
+            again.
     """
 
     seeds: Annotated[int, Meta(ge=1, le=10_000)] = 3
@@ -281,18 +288,18 @@
     flags: Mapping[str, Any],
     environ: Mapping[str, str] | None = None,
 ) -> T:
-    """Check and build the settings of a daemon or a command.
+    """Validate and build the settings of a daemon or a command.
 
     Args:
         cls: The settings class.
-        flags: Values from the command line, which win.
-        environ: Environment variables; the process's own by default.
+        flags: Values from the command line, which take precedence.
+        environ: Environment variables; those of the process by default.
 
     Returns:
-        The settings.
+        The validated settings.
 
     Raises:
-        LacewingdockError: BAD_SETTING, naming every fault at once.
+        LacewingdockError: BAD_SETTING, listing all faults.
     """
     env = os.environ if environ is None else environ
     hints = typing.get_type_hints(cls, include_extras=True)
@@ -300,7 +307,7 @@
     faults = [
         f"--{name}: no such setting" for name in flags if name not in known
     ]
-    faults += _unknown_variables(env, known)
+    faults += _find_unknown_variables(env, known)
     faults += [
         f"--{name}: is a secret, which others on the machine could see;"
         f" give it as {variable_name(name)}"
@@ -310,20 +317,20 @@
     for name, setting in known.items():
         given = flags.get(name, env.get(variable_name(name)))
         try:
-            values[name] = _value(setting, given, hints[name])
+            values[name] = _parse_value(setting, given, hints[name])
         except ValueError as error:
             faults.append(str(error))
-    faults += _clashes(cls, values)
+    faults += _find_conflicts(cls, values)
     if faults:
         raise LacewingdockError(ErrorKind.BAD_SETTING, "\n  ".join(faults))
     return cls(**values)
 
 
-def _value(setting: Field[Any], given: Any, hint: Any) -> Any:
-    """Return a setting's value.
+def _parse_value(setting: Field[Any], given: Any, hint: Any) -> Any:
+    """Return the value of a setting, or its default.
 
     Raises:
-        ValueError: It is required and not given, or not of its type.
+        ValueError: A required value is missing, or the value is invalid.
     """
     name = setting.name
     if given is None and setting.default is not MISSING:
@@ -337,7 +344,7 @@
 
 
 def variable_name(name: str) -> str:
-    """Return the environment variable of a setting."""
+    """Return the name of the environment variable of a setting."""
     return ENV_PREFIX + name.upper()
 
 
@@ -345,13 +352,13 @@
     return fields(cls)
 
 
-def _unknown_variables(
+def _find_unknown_variables(
     env: Mapping[str, str], known: Mapping[str, Any]
 ) -> list[str]:
-    """Name variables that no command knows.
+    """List faults for variables that belong to no command.
 
-    A misspelt one would leave its setting at the default unseen. The value
-    is not shown: nothing says that it is no secret.
+    A misspelt variable would silently leave its setting at the default. The
+    value is not shown, because it may be a secret.
     """
     names = {*known}
     for cls in (EntrySettings, SidecarSettings, *OTHER_SETTINGS):
@@ -365,7 +372,7 @@
 
 
 def _convert(given: Any, hint: Any) -> Any:
-    """Convert one value; text is taken for numbers and booleans too."""
+    """Convert a value to its type; numbers and booleans may be text."""
     is_text = hint is str or (
         typing.get_origin(hint) is Annotated and hint.__origin__ is str
     )
@@ -374,8 +381,8 @@
     return msgspec.convert(given, hint, strict=False)
 
 
-def _clashes(cls: type[Any], values: Mapping[str, Any]) -> list[str]:
-    """Name settings that are each valid but clash."""
+def _find_conflicts(cls: type[Any], values: Mapping[str, Any]) -> list[str]:
+    """List faults for valid settings that conflict with each other."""
     faults = []
     plain = values.get("plain_links", False)
     if issubclass(cls, DaemonSettings) and not plain:
@@ -384,7 +391,7 @@
                 "--link_keys_file: required unless --plain_links is given"
             )
         if not values.get("session_keys_file", "-"):
-            # Without keys anybody could write a session token.
+            # Without keys anyone could forge a session token.
             faults.append(
                 "--session_keys_file: required unless --plain_links is given"
             )
@@ -409,7 +416,8 @@
     return faults
 
 
-# Settings of commands that are no daemons; their variables are known too.
+# Settings of commands that are not daemons; daemons accept their environment
+# variables too.
 OTHER_SETTINGS: Final[tuple[type[Any], ...]] = (
     AskSettings,
     BillsSettings,
--- a/lacewingdock/world/__init__.py
+++ b/lacewingdock/world/__init__.py
@@ -1,1 +1,1 @@
-"""Support for the objects of the deployment: workspaces, versions, links."""
+"""Support for typed models of configuration, requests and upstreams."""
--- a/lacewingdock/world/backend.py
+++ b/lacewingdock/world/backend.py
@@ -1,4 +1,4 @@
-"""Support for what the platform says of upstream instances and roll-outs."""
+"""Support for the platform's entries of upstream instances and roll-outs."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -6,21 +6,21 @@
 
 @dataclass(slots=True, frozen=True)
 class UpstreamEntry:
-    """An upstream instance as the platform's list shows it.
+    """An upstream instance as listed in the platform's store.
 
     Attributes:
-        id: Its id. An instance may start again under the one that it had.
-        service: What it serves.
-        host: IP number.
-        port: Port.
-        failure_domain: Where it stands.
-        version: Version of its software.
-        slots: Requests it runs at once.
-        leaving: Whether it takes no new work.
-        born: Unix time of its start, in milliseconds; 0 where not said.
-        cold_left_s: Seconds for which it stays cold, when that was written.
-        created: Revision of the entry's first writing; 0 where not said.
-        sequence: The instance's own count of its reports.
+        id: Id of the instance; a restart may reuse the same id.
+        service: Name of the service that the instance runs.
+        host: IP address.
+        port: Port for requests.
+        failure_domain: Failure domain of the instance.
+        version: Software version.
+        slots: Number of requests that the instance runs concurrently.
+        leaving: Whether the instance drains and accepts no new requests.
+        born: Unix time of the start, in milliseconds; 0 if unknown.
+        cold_left_s: Seconds of cold start left when the entry was written.
+        created: Revision that created the entry; 0 if unknown.
+        sequence: Report counter kept by the instance.
     """
 
     id: str
@@ -34,26 +34,27 @@
     born: int = 0
     cold_left_s: float = 0.0
     created: int = 0
-    # An entry that differs in this alone says nothing new.
+    # Excluded from comparison: an entry that differs only in its sequence
+    # holds no change.
     sequence: int = field(default=0, compare=False)
 
     @property
     def incarnation(self) -> str:
-        """Name of this very start of it.
+        """Identifier of one start of the instance.
 
-        Whatever was seen of an instance, or is held open to it, belongs to one
-        start: after a crash it knows nothing of what came before.
+        Observations of an instance and connections to it belong to a single
+        start: after a crash the instance has lost its earlier state.
         """
         return f"{self.id}@{self.born}" if self.born else self.id
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and port."""
+        """IP address and port."""
         return self.host, self.port
 
 
 class ShiftState(StrEnum):
-    """What became of an order to move a service to a version."""
+    """Progress of an order that moves a service to a version."""
 
     ORDERED = "ordered"
     RUNNING = "running"
@@ -62,7 +63,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing is left to do."""
+        """Whether the order has reached a final state."""
         return self in (ShiftState.COMPLETED, ShiftState.ROLLED_BACK)
 
 
@@ -71,12 +72,12 @@
     """An order to move a service's requests to a version.
 
     Attributes:
-        name: Name of the order's object.
-        revision: Revision of that object.
-        service: The service.
-        target: The version to move to.
-        duration_s: Seconds in which it shall be done.
-        state: What became of it.
+        name: Name of the order object.
+        revision: Revision of the order object.
+        service: Name of the service.
+        target: Version to move to.
+        duration_s: Seconds within which the move must complete.
+        state: Progress of the order.
     """
 
     name: str
--- a/lacewingdock/world/call.py
+++ b/lacewingdock/world/call.py
@@ -1,4 +1,4 @@
-"""Support for a caller's request and an upstream's answer, as typed values."""
+"""Support for requests of callers and responses of upstreams."""
 
 from dataclasses import dataclass, field
 
@@ -7,27 +7,27 @@
 
 @dataclass(slots=True)
 class Call:
-    """A request as it came from a caller.
+    """A request received from a caller.
 
     Attributes:
-        id: Its id, new for each try of the caller.
+        id: Request id, new for each retry of the caller.
         method: HTTP method.
-        target: Path and query, as sent.
-        host: Host that the caller named.
-        path: The path alone.
-        headers: Headers that are passed on as they came.
-        body: The whole body.
-        key: The caller's key; empty for none.
-        session: Session that it belongs to; empty for none.
-        caller_timeout_s: Seconds that the caller waits; None where not said.
-        last_event: Id of the event that a stream shall go on after.
-        model: Model that the caller names; empty for none.
-        any_model: Whether the router shall choose the model.
-        tokens_in: Tokens of the prompt.
-        tokens_out: Most tokens of the answer.
-        parts: Ids and tokens of the prompt's parts, in order.
-        fingerprint: What its repeats have in common; empty until it is asked
-            for, since it is worked out from the whole body.
+        target: Path and query string, as received.
+        host: Host requested by the caller.
+        path: Path without the query string.
+        headers: Headers forwarded unchanged.
+        body: Complete body.
+        key: API key of the caller; empty for none.
+        session: Session id; empty for none.
+        caller_timeout_s: Seconds that the caller waits; None if unspecified.
+        last_event: Id of the event after which a stream is resumed.
+        model: Model requested by the caller; empty for none.
+        any_model: Whether the router chooses the model.
+        tokens_in: Number of prompt tokens.
+        tokens_out: Maximum number of generated tokens.
+        parts: Id and token count of each prompt part, in order.
+        fingerprint: Hash shared by repeats of the request; empty until first
+            used, since it is computed over the complete body.
     """
 
     id: str
@@ -51,15 +51,16 @@
 
 @dataclass(slots=True)
 class AttemptOptions:
-    """What one attempt adds to a call.
+    """Parameters that one attempt adds to a request.
 
     Attributes:
-        instance: Id of the upstream instance it is meant for.
-        workspace: The caller's workspace; empty where none is known.
-        left_s: Seconds that are left for it.
-        model: Model that answers; empty where none is named.
-        last_event: Id of the event to go on after; empty for the start.
-        priority: Rank from 0, the first, to 9; None leaves it out.
+        instance: Id of the addressed upstream instance.
+        workspace: Workspace of the caller; empty if unknown.
+        left_s: Seconds left until the deadline.
+        model: Model that answers; empty if none is specified.
+        last_event: Id of the event to resume after; empty to start at the
+            beginning.
+        priority: Priority from 0, the highest, to 9; None sends no priority.
     """
 
     instance: str
@@ -72,31 +73,32 @@
 
 @dataclass(slots=True)
 class ResponseHead:
-    """The head of an upstream's answer.
+    """Status and headers of an upstream response.
 
     Attributes:
         status: HTTP status.
-        headers: Headers that are passed on to the caller.
-        call: Id of the call it belongs to; empty where not said.
-        not_run: Whether the upstream says that it did not run the call.
-        misdirected: Whether the instance that answers says that the call was
-            meant for another.
-        instance: Id of the upstream instance that answers; empty where not
-            said.
-        sealed: Whether it bears the upstream's signature.
-        encoded: Whether the body is not the upstream's own bytes.
-        confidence: The model's opinion of its answer, 0 to 100; or None.
-        keep_alive_s: Seconds that the connection stays open idle; None if not
-            said.
-        closes: Whether the connection ends with this answer.
-        limit_per_s: Requests a second that the instance takes from all
-            routers together; None where it names no limit.
-        limit_malformed: Whether it names a limit that can't be read.
-        rest_s: Seconds for which an instance that turned the call away wants
-            none of this router's; None where it does not say.
-        leaving: Whether the instance says that it leaves.
-        odd: Names of headers about the instance whose values can't be read.
-        unknown: Names of headers that no page of the platform explains.
+        headers: Headers forwarded to the caller.
+        call: Id of the request; empty if the response has none.
+        not_run: Whether the upstream reports that it did not run the request.
+        misdirected: Whether the responding instance reports that the request
+            was addressed to another instance.
+        instance: Id of the responding upstream instance; empty if the
+            response has none.
+        sealed: Whether the response carries the upstream's signature.
+        encoded: Whether the body has a content encoding, so that its bytes are
+            not the original ones.
+        confidence: Confidence of the model in its answer, 0 to 100; or None.
+        keep_alive_s: Seconds that an idle connection stays open; None if
+            unspecified.
+        closes: Whether the connection closes after this response.
+        limit_per_s: Rate limit of the instance for all routers together, in
+            requests per second; None for no limit.
+        limit_malformed: Whether the rate limit could not be parsed.
+        rest_s: Backoff in seconds that an instance asks of this router with
+            Retry-After when it rejects a request; None if unspecified.
+        leaving: Whether the instance announces that it drains.
+        odd: Names of instance headers whose values could not be parsed.
+        unknown: Names of headers that the platform does not document.
     """
 
     status: int
@@ -118,12 +120,12 @@
     unknown: tuple[str, ...] = ()
 
     def is_from_other_instance(self, instance: str) -> bool:
-        """Whether another instance answered than the one of an id."""
+        """Whether the response comes from an instance other than this id."""
         if self.instance:
             return self.instance != instance
         return self.misdirected
 
     @property
     def success(self) -> bool:
-        """Whether the status is a success."""
+        """Whether the HTTP status is in the 200 range."""
         return 200 <= self.status < 300
--- a/lacewingdock/world/engine_load.py
+++ b/lacewingdock/world/engine_load.py
@@ -1,16 +1,16 @@
-"""Support for what an engine says of its work."""
+"""Support for load reports of engines."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True, frozen=True)
 class EngineLoad:
-    """What an engine has to do, by its own word.
+    """Load that an engine reports about itself.
 
     Attributes:
-        running: Requests that run.
-        waiting: Requests in its queue.
-        events: Events made so far for each request that runs, by its id.
+        running: Number of running requests.
+        waiting: Number of queued requests.
+        events: Events generated so far by id of the running request.
     """
 
     running: int
--- a/lacewingdock/world/host.py
+++ b/lacewingdock/world/host.py
@@ -1,45 +1,45 @@
-"""Support for what the platform says of the instance a router runs on."""
+"""Support for the platform's profile of the host instance."""
 
 from dataclasses import dataclass, field, fields
 from typing import Final
 
-# Fields that a running router can take anew. The others say which instance it
-# is and where it listens, which only a restart changes.
-CHANGEABLE: Final = frozenset(
+# Fields that can be reloaded at run time. The others identify the instance and
+# its listening addresses, which need a restart to change.
+RELOADABLE_FIELDS: Final = frozenset(
     {"first_peers", "platform_writes_per_s", "platform_reads_per_s", "bounds"}
 )
 
 
 @dataclass(slots=True, kw_only=True)
 class Bounds:
-    """What the operators hold the router to, as far as it goes by it.
+    """Service-level bounds set by the operators and used by the router.
 
-    Bounds that it keeps by design, whatever their figures, are not here.
+    Bounds that the design satisfies for any value are omitted.
 
     Attributes:
-        contact_s: Seconds without a disturbance after which an instance is
-            held to the bounds.
-        drain_s: Seconds after the platform says that an upstream instance
-            leaves in which requests may still reach it.
-        apply_s: Seconds after a configuration's acknowledgement in which an
-            older one may be in force.
-        revoke_s: Seconds after which a key that was taken away must open
-            nothing.
-        rollback_s: Seconds after a version's fiftieth bad answer after which
-            it must get nothing.
-        grace_s: Seconds from the order to stop to the kill.
-        retry_ratio: Repeats per request of a service, over the fleet.
-        retry_window_s: Span over which repeats are counted.
-        retry_extra: Repeats allowed in a span besides, over the fleet.
-        exposure_share: Largest share of a service's requests that a bad
-            version may get while it is rolled out.
-        session_s: Longest pause between requests of a session.
-        cordon_s: Seconds after a failure domain was cordoned after which its
-            instances must get nothing new; 0 where none ever is.
-        cold_overage: Requests that may reach a cold instance in a second, in
-            times those that it bears, over the fleet.
-        cold_extra: Requests that may reach it in a second besides.
-        renewal_s: Seconds in which upstream instances renew their entries.
+        contact_s: Seconds without a disturbance after which the bounds apply
+            to an instance.
+        drain_s: Seconds after the platform marks an upstream instance as
+            leaving during which requests may still reach the instance.
+        apply_s: Seconds after the acknowledgement of a configuration during
+            which an older configuration may remain in force.
+        revoke_s: Seconds after its removal by which a key must be rejected.
+        rollback_s: Seconds after the fiftieth bad answer of a version by which
+            the version must receive no requests.
+        grace_s: Seconds between the stop signal and the kill.
+        retry_ratio: Fleet-wide retries per request of a service.
+        retry_window_s: Seconds of the window over which retries are counted.
+        retry_extra: Additional retries allowed per window, fleet-wide.
+        exposure_share: Maximum share of a service's requests that a bad
+            version may receive during its roll-out.
+        session_s: Maximum pause between requests of a session, in seconds.
+        cordon_s: Seconds after the cordon of a failure domain by which its
+            instances must receive no new requests; 0 if failure domains are
+            never cordoned.
+        cold_overage: Maximum fleet-wide request rate to a cold instance, as a
+            multiple of the rate that the instance can serve.
+        cold_extra: Additional requests per second to a cold instance.
+        renewal_s: Seconds between renewals of an upstream instance's entry.
     """
 
     contact_s: float = 3.0
@@ -61,28 +61,29 @@
 
 @dataclass(slots=True, kw_only=True)
 class HostProfile:
-    """What the platform says of the instance that a router runs on.
+    """Profile of the instance that a router runs on.
 
     Attributes:
-        instance: Name of this instance.
-        failure_domain: Where it stands.
-        address: IP number it is reached at.
-        callers_address: Where callers connect.
-        ready_address: Where the balancer asks whether it is ready.
-        peer_address: Where other routers call this one.
-        gossip_port: Where routers take datagrams of each other; the same on all
+        instance: Name of the instance.
+        failure_domain: Failure domain of the instance.
+        address: IP address at which the instance is reached.
+        callers_address: Listening address for callers.
+        ready_address: Listening address for the load balancer's readiness
+            checks.
+        peer_address: Listening address for other routers.
+        gossip_port: Port for gossip datagrams between routers; the same on all
             instances.
-        relay_port: Where routers ask each other for the store's news; the same
-            on all instances, 0 where there is no port for it.
-        probe_port: Where sidecars take questions about their engines' load; the
-            same on all instances, 0 where there is no port for it.
-        first_peers: Addresses of other routers, known before the store
+        relay_port: Port for relaying store changes between routers; the same
+            on all instances, 0 for none.
+        probe_port: Port on which sidecars answer load probes; the same on all
+            instances, 0 for none.
+        first_peers: Seed addresses of other routers, used before the store
             answers; they may be out of date.
         platform: URL of the platform's object API.
-        platform_writes_per_s: Writes a second for the whole fleet.
-        platform_reads_per_s: Reads a second for the whole fleet.
-        max_files: Open files and sockets.
-        bounds: What it is held to.
+        platform_writes_per_s: Store writes per second of the whole fleet.
+        platform_reads_per_s: Store reads per second of the whole fleet.
+        max_files: Maximum number of open files and sockets.
+        bounds: Service-level bounds of the operators.
     """
 
     instance: str
@@ -104,35 +105,35 @@
     def apply_changes(
         self, found: "HostProfile"
     ) -> tuple[list[str], list[str]]:
-        """Take what a running router can take of a newer profile.
+        """Apply the reloadable fields of a newer profile in place.
 
-        Whoever holds this profile reads the new values from then on.
+        All holders of this profile see the new values.
 
         Returns:
-            Names of the fields that were taken, and of those that differ and
-            need a restart.
+            Names of the fields applied, and of the changed fields that need a
+            restart.
         """
         changed = {
             one.name
             for one in fields(self)
             if getattr(self, one.name) != getattr(found, one.name)
         }
-        taken = sorted(changed & CHANGEABLE)
+        taken = sorted(changed & RELOADABLE_FIELDS)
         for name in taken:
             setattr(self, name, getattr(found, name))
-        return taken, sorted(changed - CHANGEABLE)
+        return taken, sorted(changed - RELOADABLE_FIELDS)
 
 
 @dataclass(slots=True, kw_only=True)
 class SidecarProfile:
-    """What the platform says of the instance that a sidecar runs on.
+    """Profile of the instance that a sidecar runs on.
 
     Attributes:
-        instance: Name of this instance.
-        failure_domain: Where it stands.
-        address: IP number it is reached at.
-        engine: Where the engine on it takes calls.
-        port: Where routers ask for the engine's load.
+        instance: Name of the instance.
+        failure_domain: Failure domain of the instance.
+        address: IP address at which the instance is reached.
+        engine: Address of the instance's engine for requests.
+        port: Port on which routers probe the engine's load.
         platform: URL of the platform's object API.
     """
 
--- a/lacewingdock/world/manifest.py
+++ b/lacewingdock/world/manifest.py
@@ -16,17 +16,17 @@
 
 
 class _Loader(yaml.SafeLoader):
-    """Safe YAML without what can hide or multiply values."""
+    """Safe YAML loader that rejects aliases and duplicate keys."""
 
     def compose_node(self, parent: Any, index: Any) -> Any:
-        """Refuse aliases: nested ones grow without bound when merged."""
+        """Reject aliases: nested aliases grow without bound when merged."""
         if self.check_event(yaml.AliasEvent):
             event = self.peek_event()
             raise yaml.YAMLError(f"aliases are not supported{event.start_mark}")
         return super().compose_node(parent, index)
 
     def construct_mapping(self, node: Any, deep: bool = False) -> Any:
-        """Refuse a key given twice: the first value would go unseen."""
+        """Reject duplicate keys: the first value would be silently lost."""
         seen = set()
         for key_node, _ in node.value:
             if key_node.value in seen and isinstance(key_node.value, str):
@@ -39,25 +39,25 @@
 
 
 def parse_manifest(text: str) -> Manifest:
-    """Read a manifest: a map from kind to a map from name to object.
+    """Parse a manifest: a map from kind to a map from name to object.
 
     Args:
-        text: YAML, of which JSON is a part.
+        text: YAML, or JSON as a subset of it.
 
     Returns:
-        Plain values by item key "KIND/NAME".
+        Undecoded values by item key "KIND/NAME".
 
     Raises:
-        LacewingdockError: BAD_MANIFEST naming every fault at once.
+        LacewingdockError: BAD_MANIFEST listing all faults.
     """
     if len(text) > MAX_MANIFEST_CHARS:
         raise LacewingdockError(
             ErrorKind.BAD_MANIFEST, f"more than {MAX_MANIFEST_CHARS} characters"
         )
     try:
-        # _Loader is a SafeLoader: it builds plain values only.
+        # _Loader is a SafeLoader: it builds built-in types only.
         tree = yaml.load(text, _Loader)
-    # Its constructors of tagged values ("!!bool x") also raise LookupError
+    # The constructors of tagged values ("!!bool x") also raise LookupError
     # and AttributeError.
     except (
         yaml.YAMLError,
@@ -85,7 +85,7 @@
             key = f"{kind}/{name}"
             if not re.fullmatch(NAME_PATTERN, str(name)):
                 faults.append(f"{key!r}: want a name like {NAME_PATTERN}")
-            if bad := _not_json(value):
+            if bad := _find_non_json(value):
                 faults.append(f"{key}: {bad!r} is no JSON value")
             manifest[key] = value
     faults += check_references(manifest)
@@ -94,15 +94,15 @@
     return manifest
 
 
-def _not_json(value: Any) -> Any:
-    """Find a value that would not survive JSON, such as a date or `.nan`."""
+def _find_non_json(value: Any) -> Any:
+    """Find a value that JSON cannot represent, such as a date or `.nan`."""
     match value:
         case dict():
             inner: list[Any] = [*value.values()]
             inner += [k for k in value if not isinstance(k, str)]
-            return next(filter(None, map(_not_json, inner)), None)
+            return next(filter(None, map(_find_non_json, inner)), None)
         case list():
-            return next(filter(None, map(_not_json, value)), None)
+            return next(filter(None, map(_find_non_json, value)), None)
         case float():
             return None if math.isfinite(value) else str(value)
         case None | bool() | int() | str():
@@ -112,7 +112,7 @@
 
 
 def check_references(manifest: Manifest) -> list[str]:
-    """Name every fault of the objects and of what they refer to."""
+    """List invalid objects and references to objects that do not exist."""
     world = World()
     faults = []
     for key, value in manifest.items():
@@ -120,10 +120,10 @@
             world.add(*decode_item(key, value))
         except LacewingdockError as error:
             faults.append(error.detail)
-    return faults + _dangling(world)
+    return faults + _find_dangling(world)
 
 
-def _dangling(world: World) -> list[str]:
+def _find_dangling(world: World) -> list[str]:
     faults = []
     for name, cascade in world.cascades.items():
         faults += [
--- a/lacewingdock/world/names.py
+++ b/lacewingdock/world/names.py
@@ -1,10 +1,10 @@
-"""Support for names of configured things and of instances."""
+"""Support for names of configured objects and instances."""
 
 from typing import Annotated, Final
 
 from msgspec import Meta
 
-# "$" would also match before a line feed at the end.
+# "\Z" instead of "$", which also matches before a trailing line feed.
 NAME_PATTERN: Final = r"^[a-z0-9][a-z0-9.-]{0,62}\Z"
 
 Name = Annotated[
--- a/lacewingdock/world/objects.py
+++ b/lacewingdock/world/objects.py
@@ -1,4 +1,4 @@
-"""Support for the configured objects: versions, models, workspaces."""
+"""Support for configured objects such as versions, models and workspaces."""
 
 import ipaddress
 from dataclasses import dataclass, field
@@ -24,10 +24,10 @@
     """A version of a model that engines can load.
 
     Attributes:
-        model: Name of the model it is a version of.
-        state: "offered", or "withdrawn" for no new work.
-        input_price: Cost of a thousand tokens read.
-        output_price: Cost of a thousand tokens generated.
+        model: Name of the model that the version belongs to.
+        state: "offered", or "withdrawn" to receive no new requests.
+        input_price: Cost per thousand input tokens.
+        output_price: Cost per thousand generated tokens.
     """
 
     model: Name
@@ -38,13 +38,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class Model:
-    """A model name that callers use.
+    """A model as requested by callers, with the versions that serve it.
 
     Attributes:
-        shares: Part of new sessions for each version; parts need not sum
-            to one.
-        incoming: Version that a roll-out brings in or brought in last;
-            empty when there was none.
+        shares: Share of new sessions by version; the shares need not sum to
+            one.
+        incoming: Version of the current or latest roll-out; empty if there was
+            no roll-out.
     """
 
     shares: dict[Name, Share]
@@ -56,8 +56,8 @@
     """One step of a cascade.
 
     Attributes:
-        version: The version tried.
-        accept: Lowest rating at which its answer is given; ignored on the
+        version: Version to try.
+        accept: Lowest rating at which the answer is accepted; ignored on the
             last step.
     """
 
@@ -67,11 +67,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Cascade:
-    """Versions to try in order, cheaper before dearer.
+    """Versions to try in order, from the cheapest to the most expensive.
 
     Attributes:
-        steps: The versions, at most eight; the last one's answer is given
-            whatever its rating.
+        steps: Steps in order, at most eight; the answer of the last step is
+            accepted regardless of its rating.
     """
 
     steps: Annotated[list[Step], Meta(min_length=1, max_length=8)]
@@ -82,9 +82,9 @@
     """A service-level objective of a workspace.
 
     Attributes:
-        measure: What is counted.
-        target: Part of events that must be good.
-        limit_s: Latency limit, for latency measures.
+        measure: Service-level indicator.
+        target: Share of events that must be good.
+        limit_s: Latency limit in seconds, for latency measures.
     """
 
     measure: Literal[
@@ -96,17 +96,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class Workspace:
-    """A brand's workspace.
+    """A tenant's workspace with its keys, permissions and budget.
 
     Attributes:
-        keys: SHA-256 digests, in hex, of the bearer keys.
-        models: Model and cascade names its callers may ask for.
-        versions: Versions its requests may run on.
-        services: Plain services its callers may use.
-        quality_target: Part of answers that must be good.
-        budget: Cost allowed a day (UTC); None for no limit.
-        at_limit: What happens once the budget is used up: "refuse" new
-            work, go on with the "cheapest" step, or go on and "alert".
+        keys: SHA-256 digests of the bearer keys, in hexadecimal.
+        models: Models and cascades that callers may request.
+        versions: Versions that may serve the requests.
+        services: Plain services that callers may use.
+        quality_target: Share of answers that must be good.
+        budget: Maximum cost per day (UTC); None for no limit.
+        at_limit: Action once the budget is exhausted: "refuse" new requests,
+            continue with the "cheapest" step, or continue and "alert".
         objectives: Service-level objectives.
     """
 
@@ -122,17 +122,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class Operation:
-    """A contract for one call of a plain service.
+    """Contract of one operation of a plain service.
 
     Attributes:
         method: HTTP method.
-        path: Path of the call, without the service's prefix.
-        repeatable: Whether running it twice does no harm.
-        timeout_s: Seconds the call may take.
-        on_outage: What happens to a call that may not be repeated while
-            the platform is down: "refuse" it, or take "tickets", which need
-            no platform but are lost with the process that they name.
-        price: Cost of a call.
+        path: Request path without the prefix of the service.
+        repeatable: Whether the operation is idempotent.
+        timeout_s: Timeout of a call in seconds.
+        on_outage: Handling of calls that are not idempotent while the platform
+            is down: "refuse" them, or accept them with "tickets", which need
+            no platform but are lost with the process that issued them.
+        price: Cost per call.
     """
 
     method: Literal["GET", "POST", "PUT", "DELETE", "PATCH"]
@@ -148,10 +148,10 @@
     """A plain service beside the model engines.
 
     Attributes:
-        operations: The calls that may be made; no other passes.
-        partitions: Parts that the idempotency keys are spread over.
-        key_window_s: Seconds that an idempotency key is remembered; a key
-            sent again later counts as new.
+        operations: Allowed operations; all other calls are rejected.
+        partitions: Number of partitions of the idempotency keys.
+        key_window_s: Seconds for which an idempotency key is stored; a key
+            that is sent again later counts as new.
     """
 
     operations: Annotated[list[Operation], Meta(min_length=1)]
@@ -161,11 +161,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Operator:
-    """Someone who may ask and order in the operators' language.
+    """An operator who may query and send commands in the command language.
 
     Attributes:
-        keys: SHA-256 digests, in hex, of the bearer keys.
-        role: "viewer" may ask, "operator" may also order roll-outs and
+        keys: SHA-256 digests of the bearer keys, in hexadecimal.
+        role: "viewer" may query, "operator" may also start roll-outs and
             withdrawals, "admin" may also stop instances.
     """
 
@@ -175,18 +175,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class Quarantine:
-    """A request that is refused because it crashes upstreams.
+    """A poison request, rejected because it crashes upstreams.
 
-    Its name is the request's fingerprint.
+    The name of the object is the fingerprint of the request.
 
     Attributes:
-        workspace: Whose request it is.
-        target: The version or service that it crashes.
+        workspace: Workspace that sent the request.
+        target: Version or service that the request crashes.
         state: "quarantined", or "released" by an operator.
-        reason: Why, for people.
-        crashes: Ids of the crashes that convicted it; a release excuses it
-            of these, and of no later one.
-        expires: Unix time, in seconds, after which it is not refused.
+        reason: Explanation for operators.
+        crashes: Ids of the crashes that led to the quarantine; a release
+            discounts these crashes, but no later ones.
+        expires: Unix time, in seconds, at which the quarantine ends.
     """
 
     workspace: Name
@@ -204,18 +204,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class Instance:
-    """An instance as the platform's lagging list shows it.
+    """An instance as listed by the platform; the list may be stale.
 
     Attributes:
         name: Name of the instance.
         role: "entry" or "sidecar".
-        failure_domain: Where it stands.
-        address: "IP:PORT" of its link port.
-        pool: Versions' model or service that its upstream serves; empty
-            for entries.
+        failure_domain: Failure domain of the instance.
+        address: "IP:PORT" of the link port.
+        pool: Model or service that the upstream serves; empty for entries.
         state: "live" or "leaving".
-        admin: "IP:PORT" of its admin port; empty where the platform's list
-            does not show it.
+        admin: "IP:PORT" of the admin port; empty if the platform does not
+            list it.
     """
 
     name: Name
@@ -227,12 +226,12 @@
     admin: Annotated[str, Meta(pattern=r"^([0-9.]+:[0-9]{1,5})?\Z")] = ""
 
     def __post_init__(self) -> None:
-        """Refuse an address that can't be dialed.
+        """Reject an address that cannot be dialed.
 
         Raises:
-            ValueError: The IP number or the port is out of range.
+            ValueError: The IP address or the port is out of range.
         """
         host, port = split_address(self.address)
         ipaddress.IPv4Address(host)
         if port > MAX_PORT:
-            raise ValueError(f"no such port: {port}")
+            raise ValueError(f"port {port} is out of range")
--- a/lacewingdock/world/route.py
+++ b/lacewingdock/world/route.py
@@ -1,4 +1,4 @@
-"""Support for routes: where a request goes, and what may be repeated."""
+"""Support for the routing table and the retry policy of routes."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -6,12 +6,12 @@
 
 
 class Repeat(StrEnum):
-    """How often a request may run.
+    """Retry policy: how often a request may run.
 
     Attributes:
-        IDEMPOTENT: Any number of times.
-        ONCE: Once at most; after it was sent, it is not sent again.
-        RESUMABLE: A stream that another run may go on with after an event.
+        IDEMPOTENT: The request may run any number of times.
+        ONCE: At most once; a request that was sent is never retried.
+        RESUMABLE: A stream that another run may resume after an event.
     """
 
     IDEMPOTENT = "idempotent"
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """A service that a route sends to, with its share of the requests."""
+    """A destination service of a route with its weight."""
 
     service: str
     weight: float = 1.0
@@ -29,22 +29,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Where requests of a host and path prefix go.
+    """Destinations and limits of requests by host and path prefix.
 
     Attributes:
-        name: Its name.
-        host: Host that callers name.
-        prefix: What their path starts with; begins and ends with a slash.
-        targets: The services, one at least.
-        repeat: How often a request may run.
-        streaming: Whether the answer is a series of events.
-        timeout_s: Longest time a caller is kept waiting.
-        goal_s: Time to the answer, or its first event, that is on time.
-        gap_s: Longest pause between events that is on time; 0 for none.
-        priority: Its rank; 0 is first.
-        models: Models that may answer, smallest first; empty where the
-            caller names one.
-        max_attempts: Instances that one request may be sent to.
+        name: Name of the route.
+        host: Host requested by callers.
+        prefix: Path prefix; begins and ends with a slash.
+        targets: Destination services, at least one.
+        repeat: Retry policy.
+        streaming: Whether the response is a stream of events.
+        timeout_s: Maximum time that a caller waits, in seconds.
+        goal_s: Latency objective of the response or its first event, in
+            seconds.
+        gap_s: Objective for the pause between events, in seconds; 0 for none.
+        priority: Priority; 0 is the highest.
+        models: Models that may answer, smallest first; empty if the caller
+            chooses the model.
+        max_attempts: Maximum number of instances tried per request.
         public: Whether callers need no key.
     """
 
@@ -65,11 +66,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Caller:
-    """The workspace that a key belongs to.
+    """The workspace that an API key belongs to.
 
     Attributes:
-        workspace: Its name.
-        priority: Its rank, which goes before the route's; None for none.
+        workspace: Name of the workspace.
+        priority: Priority that overrides the route's; None for no override.
     """
 
     workspace: str
@@ -78,13 +79,13 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """What a caller may send, and how slowly.
+    """Size limits and timeouts for callers.
 
     Attributes:
-        header_bytes: Longest head of a request.
-        body_bytes: Longest body.
-        read_s: Seconds by which a request must have come.
-        idle_s: Seconds that a connection may stay open without a request.
+        header_bytes: Maximum size of the request line and headers, in bytes.
+        body_bytes: Maximum size of the body, in bytes.
+        read_s: Timeout for receiving a request, in seconds.
+        idle_s: Timeout of an idle connection, in seconds.
     """
 
     header_bytes: int = 16 * 1024
@@ -95,17 +96,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceLimits:
-    """What an instance of a service takes.
+    """Limits of one instance of a service.
 
     Attributes:
-        name: The service.
-        max_connections: Connections from all callers together.
-        cold_start_s: Seconds for which it is cold after its start.
-        cold_per_s: Requests a second that it bears while it is cold; 0 for any
-            number.
-        model_costs: Cost of 1,000 generated tokens by model.
-        health_path: Path at which an instance says how it fares; empty where
-            none is named.
+        name: Name of the service.
+        max_connections: Maximum connections from all callers together.
+        cold_start_s: Seconds for which an instance is cold after its start.
+        cold_per_s: Requests per second that a cold instance can serve; 0 for no
+            limit.
+        model_costs: Cost per 1,000 generated tokens by model.
+        health_path: Path of the health check; empty for none.
     """
 
     name: str
@@ -116,9 +116,9 @@
     health_path: str = ""
 
     def relative_cost(self, model: str) -> float:
-        """Return a model's cost as a part of the dearest one's.
+        """Return the cost of a model relative to the most expensive model.
 
-        Costs stand for the time that an upstream takes for a token.
+        Costs approximate the time that an upstream takes per token.
         """
         most = max(self.model_costs.values(), default=0.0)
         cost = self.model_costs.get(model, most)
@@ -126,14 +126,14 @@
 
 
 class RoutingTable:
-    """One version of the configuration, ready for look-ups.
+    """Routing configuration of one version, indexed by host.
 
     Attributes:
-        version: Its version; later ones are higher.
-        routes: The routes.
-        callers: Callers by key; None where no keys are asked for.
-        limits: What callers may send.
-        services: The services by name.
+        version: Version of the configuration; increases with each change.
+        routes: All routes.
+        callers: Callers by API key; None if no keys are required.
+        limits: Limits for callers.
+        services: Limits of services by name.
     """
 
     __slots__ = (
@@ -153,7 +153,7 @@
         limits: CallerLimits | None = None,
         services: dict[str, ServiceLimits] | None = None,
     ) -> None:
-        """Build the look-ups."""
+        """Index the routes by host, longest prefix first."""
         self.version = version
         self.routes = routes
         self.callers = callers
@@ -167,7 +167,7 @@
         self._by_host = dict(by_host)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path, if any."""
+        """Return the route with the longest matching prefix, if any."""
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
--- a/lacewingdock/world/router_entry.py
+++ b/lacewingdock/world/router_entry.py
@@ -1,4 +1,4 @@
-"""Support for what a router says of itself in the platform's store."""
+"""Support for the entries that routers write to the platform's store."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True)
 class RouterEntry:
-    """Where a router is reached.
+    """Address and start of a router, announced in the store.
 
     Attributes:
-        address: Its port for other routers, as IP:PORT.
-        incarnation: Its start.
-        seen_at: Unix time, in seconds, at which it last announced itself.
+        address: "IP:PORT" for other routers.
+        incarnation: Identifier of the start of the router process.
+        seen_at: Unix time, in seconds, of the last announcement.
     """
 
     address: str
@@ -22,5 +22,5 @@
 
 
 def host_of(address: str) -> str:
-    """Return the IP number of an address IP:PORT."""
+    """Return the IP address of "IP:PORT"."""
     return address.rpartition(":")[0]
--- a/lacewingdock/world/run.py
+++ b/lacewingdock/world/run.py
@@ -1,4 +1,4 @@
-"""Support for one request on an upstream and the answer kept of it."""
+"""Support for a request on an upstream and its buffered answer."""
 
 import contextlib
 import threading
@@ -14,19 +14,20 @@
 from lacewingdock.links.messages import Attempt, Chunk, Finish, Refusal
 from lacewingdock.links.refusals import build_refusal
 
-# Kept pieces sent in one go before the link is asked whether it has room.
-BATCH_PIECES: Final = 64
+# Buffered chunks sent per batch before the backpressure of the link is checked.
+BATCH_CHUNKS: Final = 64
 
 
 @dataclass(slots=True)
-class Watcher:
-    """Someone who gets the answer.
+class Subscriber:
+    """A recipient of the answer over a link.
 
     Attributes:
-        link: Where the frames go.
-        attempt: The id they carry.
-        live: Whether it has all kept pieces and gets new ones as they come.
-        since: When it began to wait, in seconds since boot.
+        link: Link that the frames are sent over.
+        attempt: Attempt id carried by the frames.
+        live: Whether all buffered chunks were sent and new chunks are
+            forwarded as they arrive.
+        since: Start of the subscription, in seconds since boot.
     """
 
     link: Link
@@ -35,34 +36,38 @@
     since: float = field(default_factory=since_boot)
 
     def is_waiting(self) -> bool:
-        """Tell whether its end of the link still waits, for all one knows."""
+        """Return whether the peer is presumed to wait for the answer."""
         link = self.link
         return not link.is_hung_up() and not link.lapsed_since(self.since)
 
 
 class Run:
-    """A request, its answer so far, and who gets it.
+    """A request on an upstream, its buffered answer and its subscribers.
 
     Attributes:
-        attempt: What was asked.
-        chunks: The answer's pieces so far.
-        size: Bytes of the pieces.
-        outcome: The end; None while running.
-        watchers: Who gets the answer now.
-        first: Who got the answer first; None before.
-        lock: Guards the pieces, the outcome and the watchers. Nothing blocks
-            under it, for links' reading tasks take it.
-        cancelled: Set when the upstream shall be told to stop.
-        on_cancel: Ends the call of the upstream at once.
-        changed: Monotonic time of the last watcher's leave or of the end.
-        executed: Whether the upstream may have seen the request.
-        evicted: Whether pieces were dropped to bound memory.
-        kept: Whether an entry said that it comes back for the rest.
-        fetched: Whether an entry said that it has the end.
-        caller_left: Whether it was cancelled because its caller went away.
-        deadline: Monotonic time by which the answer must be whole.
-        before_end: Called once with the run and its end, before anyone is
-            told of the end; None once called.
+        attempt: The attempt that started the request.
+        chunks: Chunks of the answer received so far.
+        size: Total size of the chunks, in bytes.
+        outcome: Final frame of the answer; None while running.
+        subscribers: Current recipients of the answer.
+        first_subscriber: The first recipient; None before.
+        lock: Guards the chunks, the outcome and the subscribers. It is
+            acquired by the reading tasks of links, so no code may block
+            while holding it.
+        cancelled: Set when the request on the upstream is to be aborted.
+        on_cancel: Aborts the call to the upstream immediately.
+        idle_since: Monotonic time of the start, of the last subscriber's
+            departure or of the end.
+        executed: Whether the upstream may have received the request.
+        evicted: Whether chunks were dropped to bound memory.
+        resume_announced: Whether an entry announced that it will fetch the
+            rest of the answer.
+        end_delivered: Whether an entry confirmed that it received the end.
+        caller_left: Whether the run was cancelled because the caller
+            disconnected.
+        deadline: Monotonic time by which the answer must be complete.
+        before_end: Called once with the run and its outcome before the outcome
+            is sent to subscribers; None once called.
     """
 
     __slots__ = (
@@ -75,7 +80,7 @@
         "end_delivered",
         "evicted",
         "executed",
-        "first",
+        "first_subscriber",
         "idle_since",
         "lock",
         "on_cancel",
@@ -86,13 +91,13 @@
     )
 
     def __init__(self, attempt: Attempt) -> None:
-        """Start with an empty answer."""
+        """Build a run of an attempt with an empty answer."""
         self.attempt = attempt
         self.chunks: list[bytes] = []
         self.size = 0
         self.outcome: Finish | Refusal | None = None
-        self.subscribers: list[Watcher] = []
-        self.first: Watcher | None = None
+        self.subscribers: list[Subscriber] = []
+        self.first_subscriber: Subscriber | None = None
         self.lock = threading.Lock()
         self.cancelled = threading.Event()
         self.on_cancel: Callable[[], object] | None = None
@@ -106,23 +111,31 @@
         self.before_end: Callable[[Run, Finish | Refusal], None] | None = None
 
     def add(self, data: bytes) -> None:
-        """Keep a piece and pass it on."""
+        """Buffer a chunk and forward it to live subscribers."""
         with self.lock:
             offset = len(self.chunks)
             self.chunks.append(data)
             self.size += len(data)
-            for watcher in self.subscribers:
-                if watcher.live:
-                    watcher.link.send(Chunk(watcher.attempt, offset, data))
+            for subscriber in self.subscribers:
+                if subscriber.live:
+                    subscriber.link.send(
+                        Chunk(subscriber.attempt, offset, data)
+                    )
 
     def end(self, finish: Finish) -> None:
-        """End the answer as whole."""
+        """Complete the answer and notify live subscribers."""
         self._call_before_end(finish)
         with self.lock:
             self._end_locked(replace(finish, chunks=len(self.chunks)))
 
     def refuse(self, error: LacewingdockError, revision: int = 0) -> None:
-        """End the answer with an error, decided at a revision."""
+        """Fail the run with an error.
+
+        Args:
+            error: The error.
+            revision: Configuration revision of the decision; 0 if not
+                applicable.
+        """
         refusal = build_refusal(self.attempt.attempt, error, revision)
         self._call_before_end(refusal)
         with self.lock:
@@ -134,25 +147,31 @@
             callback(self, outcome)
 
     def is_abandoned(self) -> bool:
-        """Tell whether its entry has turned elsewhere before it began.
+        """Return whether the entry has retried elsewhere before the start.
 
-        The entry of a link that was silent for too long has sent the request
-        to another upstream: begun now, it would run twice. One that may not
-        be repeated was sent nowhere else; its entry comes back for it.
+        When a link was silent for too long, the entry has sent the request to
+        another upstream, and starting it here would run the request twice. A
+        request that is not repeatable was not retried; its entry reconnects
+        to fetch the answer.
         """
         attempt = self.attempt
         if not attempt.repeatable:
             return False
-        if any(watcher.is_waiting() for watcher in tuple(self.subscribers)):
+        if any(
+            subscriber.is_waiting() for subscriber in tuple(self.subscribers)
+        ):
             return False
         if not (attempt.resumable or self.resume_announced):
             return True
-        # A caller whose entry died may come back for such an answer.
-        first = self.first
-        return first is not None and first.link.lapsed_since(first.since)
+        # A caller whose entry crashed may return for a resumable answer.
+        first_subscriber = self.first_subscriber
+        return (
+            first_subscriber is not None
+            and first_subscriber.link.lapsed_since(first_subscriber.since)
+        )
 
     def cancel(self) -> None:
-        """Tell the upstream to stop, now rather than with its next byte."""
+        """Abort the call to the upstream without waiting for its next byte."""
         self.cancelled.set()
         hook = self.on_cancel
         if hook is not None:
@@ -160,83 +179,91 @@
                 hook()
 
     def set_cancel_hook(self, hook: Callable[[], object]) -> None:
-        """Take what a cancel has to call now."""
+        """Set the function that aborts the current call to the upstream."""
         self.on_cancel = hook
-        # A cancel that came just before did not see the hook.
+        # A concurrent `cancel` may have run before the hook was set.
         if self.cancelled.is_set():
             self.cancel()
 
     def _end_locked(self, outcome: Finish | Refusal) -> None:
         self.outcome = outcome
         self.idle_since = time.monotonic()
-        for watcher in self.subscribers:
-            if watcher.live:
-                self._send_end(watcher)
+        for subscriber in self.subscribers:
+            if subscriber.live:
+                self._send_end(subscriber)
 
-    def _send_end(self, watcher: Watcher) -> None:
+    def _send_end(self, subscriber: Subscriber) -> None:
         assert self.outcome is not None
-        watcher.link.send(replace(self.outcome, attempt=watcher.attempt))
-        watcher.link.finish()
+        subscriber.link.send(replace(self.outcome, attempt=subscriber.attempt))
+        subscriber.link.finish()
 
     def attach(self, link: Link, attempt: str, offset: int) -> None:
-        """Send what is there from an offset on, then what follows.
+        """Subscribe a link: send buffered chunks from an offset, then new ones.
 
-        It waits for a slow link between batches, so only a task of its own
-        may call it, unless nothing is kept yet.
+        Blocks between batches while the link is slow, so it needs a task of
+        its own unless no chunks are buffered yet.
         """
-        watcher = Watcher(link, attempt)
+        subscriber = Subscriber(link, attempt)
         with self.lock:
-            # The close of a link forgets its watchers once. One that came
-            # after that would stay for good, and its run with it.
+            # Subscribers of a link are removed once, when the link closes. A
+            # subscriber added later would leak together with its run.
             if link.closed:
                 return
             link.begin()
-            self.first = self.first or watcher
-            self.subscribers.append(watcher)
-        while self._catch_up(watcher, offset):
-            offset += BATCH_PIECES
+            self.first_subscriber = self.first_subscriber or subscriber
+            self.subscribers.append(subscriber)
+        while self._send_batch(subscriber, offset):
+            offset += BATCH_CHUNKS
             if not link.wait_for_room():
                 return
 
-    def _catch_up(self, watcher: Watcher, offset: int) -> bool:
-        """Send a batch; return whether there is more that is kept."""
+    def _send_batch(self, subscriber: Subscriber, offset: int) -> bool:
+        """Send a batch of chunks; return whether more chunks are buffered."""
         with self.lock:
-            if not any(w is watcher for w in self.subscribers):
+            if not any(w is subscriber for w in self.subscribers):
                 return False
-            if self._is_gone_locked(offset):
-                self._refuse_gone_locked(watcher)
+            if self._is_evicted_locked(offset):
+                self._refuse_evicted_locked(subscriber)
                 return False
-            chunks = self.chunks[offset : offset + BATCH_PIECES]
+            chunks = self.chunks[offset : offset + BATCH_CHUNKS]
             for index, data in enumerate(chunks, offset):
-                watcher.link.send(Chunk(watcher.attempt, index, data))
+                subscriber.link.send(Chunk(subscriber.attempt, index, data))
             if offset + len(chunks) < len(self.chunks):
                 return True
-            watcher.live = True
+            subscriber.live = True
             if self.outcome is not None:
-                self._send_end(watcher)
+                self._send_end(subscriber)
             return False
 
-    def _is_gone_locked(self, offset: int) -> bool:
+    def _is_evicted_locked(self, offset: int) -> bool:
         if not self.evicted:
             return offset > len(self.chunks)
-        # Whoever has all pieces lacks only the end, which is kept.
+        # A peer that has all chunks needs only the outcome, which is kept.
         end = self.outcome
         return not (isinstance(end, Finish) and offset == end.chunks)
 
-    def _refuse_gone_locked(self, watcher: Watcher) -> None:
-        self.subscribers = [w for w in self.subscribers if w is not watcher]
-        watcher.link.send(
+    def _refuse_evicted_locked(self, subscriber: Subscriber) -> None:
+        self.subscribers = [w for w in self.subscribers if w is not subscriber]
+        subscriber.link.send(
             Refusal(
-                watcher.attempt,
+                subscriber.attempt,
                 ErrorKind.ANSWER_GONE,
                 RAN_YES,
                 "the answer is no longer kept",
             )
         )
-        watcher.link.finish()
+        subscriber.link.finish()
 
     def detach(self, link: Link, attempt: str | None = None) -> bool:
-        """Forget the watchers of a link, or one; return if there were any."""
+        """Remove one or all subscribers of a link.
+
+        Args:
+            link: The link.
+            attempt: Attempt id of the subscriber; None for all of the link.
+
+        Returns:
+            Whether any subscriber was removed.
+        """
         with self.lock:
             gone = [
                 w
@@ -245,9 +272,10 @@
             ]
             if not gone:
                 return False
-            for watcher in gone:
-                # A live watcher of an ended run was counted off at the end.
-                if self.outcome is None or not watcher.live:
+            for subscriber in gone:
+                # For a live subscriber of an ended run `_send_end` already
+                # called `finish`.
+                if self.outcome is None or not subscriber.live:
                     link.finish()
             self.subscribers = [
                 w for w in self.subscribers if not any(w is g for g in gone)
@@ -256,24 +284,24 @@
             return True
 
     def detach_peer(self, link: Link) -> None:
-        """Forget the watchers of a peer's other links."""
+        """Remove the subscribers of all other links of the same peer."""
         peer = link.peer.incarnation
-        for watcher in tuple(self.subscribers):
-            if watcher.link is not link and (
-                watcher.link.peer.incarnation == peer
+        for subscriber in tuple(self.subscribers):
+            if subscriber.link is not link and (
+                subscriber.link.peer.incarnation == peer
             ):
-                self.detach(watcher.link)
+                self.detach(subscriber.link)
 
     def transfer_subscribers(self, other: "Run") -> None:
-        """Let another run serve this one's watchers, from the start."""
+        """Move all subscribers to another run, which sends from offset 0."""
         with self.lock:
             moved, self.subscribers = self.subscribers, []
-        for watcher in moved:
-            watcher.link.finish()
-            other.attach(watcher.link, watcher.attempt, 0)
+        for subscriber in moved:
+            subscriber.link.finish()
+            other.attach(subscriber.link, subscriber.attempt, 0)
 
     def evict(self) -> None:
-        """Drop the pieces; the outcome stays."""
+        """Drop the buffered chunks and keep the outcome."""
         with self.lock:
             self.chunks = []
             self.size = 0
--- a/lacewingdock/world/upstream.py
+++ b/lacewingdock/world/upstream.py
@@ -1,4 +1,4 @@
-"""Support for an upstream as an entry sees it through its sidecar."""
+"""Support for an entry's view of an upstream behind its sidecar."""
 
 import threading
 import time
@@ -10,19 +10,20 @@
 
 
 class Upstream:
-    """One upstream instance behind its sidecar.
+    """State of one upstream instance and of the link to its sidecar.
 
     Attributes:
         instance: The sidecar's entry in the platform's list.
-        link: The link to it; None while there is none.
-        status: What the sidecar last said of itself.
-        in_flight: Attempts of this entry that have not ended.
-        sent_since_news: Attempts sent since the last load report; a report
-            lags, and without them all entries would herd to the idlest.
-        wanted: Whether the link shall be kept.
-        refused: Whether nothing listened at its address at the last dial.
-        guest: Whether the link is only there to fetch an answer.
-        needed: Set to have a missing link dialed at once.
+        link: Link to the sidecar; None while disconnected.
+        status: Last status reported by the sidecar.
+        in_flight: Unfinished attempts of this entry.
+        sent_since_report: Attempts sent since the last load report. Reports
+            lag; without this count all entries would send to the least
+            loaded upstream at once.
+        keep_linked: Whether the link is to be kept connected.
+        refused: Whether the last dial found no listener at the address.
+        resume_only: Whether the link only serves to fetch an answer.
+        dial_now: Set to dial a missing link immediately.
     """
 
     __slots__ = (
@@ -39,7 +40,7 @@
     )
 
     def __init__(self, instance: Instance) -> None:
-        """Start without a link."""
+        """Build the state of an instance without a link."""
         self.instance = instance
         self.link: Link | None = None
         self.status = Status()
@@ -53,21 +54,21 @@
 
     @property
     def name(self) -> str:
-        """Name of the sidecar's instance."""
+        """Name of the instance of the sidecar."""
         return self.instance.name
 
     @property
     def linked(self) -> bool:
-        """Whether there is an open link."""
+        """Whether the link is open."""
         link = self.link
         return link is not None and not link.closed
 
     def usable(self, target: str) -> bool:
-        """Tell whether new work for a target may go there."""
+        """Return whether new requests for a target may be sent here."""
         return self.linked and self.serves(target)
 
     def serves(self, target: str) -> bool:
-        """Tell whether it takes work for a target, or would if it spoke."""
+        """Return whether the upstream serves a target, also while unlinked."""
         return (
             (self.linked or not self.refused)
             and not self.resume_only
@@ -77,28 +78,31 @@
         )
 
     def load(self) -> float:
-        """Work known to be there, as a part of capacity."""
+        """Return the estimated number of requests relative to capacity."""
         status = self.status
         known = status.running + status.queued + self.sent_since_report
         return max(known, self.in_flight.value) / max(status.capacity, 1)
 
-    def update_load(self, news: Status | Beat) -> None:
-        """Take the sidecar's own figures, fresher than any report."""
-        if isinstance(news, Status):
-            self.status = news
+    def update_load(self, report: Status | Beat) -> None:
+        """Apply a load report of the sidecar.
+
+        Reports over the link are fresher than those of any other source.
+        """
+        if isinstance(report, Status):
+            self.status = report
         else:
-            self.status.running = news.running
-            self.status.queued = news.queued
+            self.status.running = report.running
+            self.status.queued = report.queued
         self.sent_since_report = 0
 
     def set_link(self, link: Link | None) -> None:
-        """Take a new link, or None when it closed."""
+        """Set a new link, or None once the link closed, and wake waiters."""
         with self._changed:
             self.link = link
             self._changed.notify_all()
 
     def wait_link(self, timeout_s: float) -> Link | None:
-        """Wait for an open link; None when there is none in time."""
+        """Wait for an open link; return None after the timeout."""
         end = time.monotonic() + timeout_s
         with self._changed:
             while self.link is None or self.link.closed:
--- a/lacewingdock/world/world.py
+++ b/lacewingdock/world/world.py
@@ -1,4 +1,4 @@
-"""Support for one consistent view of all configured objects."""
+"""Support for consistent snapshots of all configured objects."""
 
 import hashlib
 from collections.abc import Iterable
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class World:
-    """All configured objects by name; never changed once built.
+    """Snapshot of all configured objects by name, immutable once built.
 
     Attributes:
         cascades: Cascades by name.
@@ -53,9 +53,9 @@
         services: Plain services by name.
         versions: Model versions by name.
         workspaces: Workspaces by name.
-        key_owners: Workspace name by digest of a bearer key.
-        suspended: Versions that this entry gives no new work for now, on its
-            own evidence.
+        key_owners: Workspace names by digest of the bearer key.
+        suspended: Versions that currently receive no new requests from this
+            entry, based on its own observations.
     """
 
     cascades: dict[str, Cascade] = field(default_factory=dict)
@@ -69,7 +69,7 @@
     suspended: set[str] = field(default_factory=set)
 
     def add(self, name: str, item: ConfigObject) -> None:
-        """Put an object in its place; only used while building."""
+        """Add an object; only valid while building the snapshot."""
         match item:
             case Cascade():
                 self.cascades[name] = item
@@ -89,7 +89,7 @@
                     self.key_owners[digest] = name
 
     def authenticate(self, key: str) -> tuple[str, Workspace]:
-        """Find the workspace of a bearer key.
+        """Return the name and workspace that a bearer key belongs to.
 
         Raises:
             LacewingdockError: UNAUTHORIZED when no workspace has the key.
@@ -98,12 +98,12 @@
         name = self.key_owners.get(digest)
         if name is None:
             raise LacewingdockError(
-                ErrorKind.UNAUTHORIZED, "the bearer key is not known"
+                ErrorKind.UNAUTHORIZED, "no workspace has this bearer key"
             )
         return name, self.workspaces[name]
 
     def operator(self, key: str) -> tuple[str, Operator]:
-        """Find the operator of a bearer key.
+        """Return the name and operator that a bearer key belongs to.
 
         Raises:
             LacewingdockError: UNAUTHORIZED when no operator has the key.
@@ -113,11 +113,11 @@
             if digest in operator.keys:
                 return name, operator
         raise LacewingdockError(
-            ErrorKind.UNAUTHORIZED, "the operator key is not known"
+            ErrorKind.UNAUTHORIZED, "no operator has this bearer key"
         )
 
     def offered(self, version: str) -> bool:
-        """Tell whether a version may get new work here."""
+        """Return whether a version may receive new requests."""
         found = self.versions.get(version)
         return (
             found is not None
@@ -126,10 +126,10 @@
         )
 
     def operation(self, service: str, method: str, path: str) -> Operation:
-        """Find the contract of a service call.
+        """Return the contract of a service call.
 
         Raises:
-            LacewingdockError: UNKNOWN_SERVICE when there is none.
+            LacewingdockError: UNKNOWN_SERVICE if no operation matches.
         """
         found = self.services.get(service)
         for operation in found.operations if found else ():
@@ -141,17 +141,17 @@
 
 
 def decode_item(key: str, value: Any) -> tuple[str, ConfigObject]:
-    """Check one item and build its object.
+    """Validate an item and build its object.
 
     Args:
         key: "KIND/NAME".
-        value: JSON bytes, or what they decode to.
+        value: JSON bytes, or the decoded value.
 
     Returns:
         The name and the object.
 
     Raises:
-        LacewingdockError: BAD_MANIFEST naming the key and the value.
+        LacewingdockError: BAD_MANIFEST naming the key and the invalid value.
     """
     kind, _, name = key.partition("/")
     cls = CLASSES.get(kind)
@@ -163,7 +163,7 @@
     try:
         if isinstance(value, bytes):
             value = decode_json(value)
-        _refuse_unknown(cls, value)
+        _reject_unknown_fields(cls, value)
         return name, msgspec.convert(value, cls)
     except (msgspec.ValidationError, msgspec.DecodeError) as error:
         raise LacewingdockError(
@@ -171,18 +171,23 @@
         ) from error
 
 
-def _refuse_unknown(cls: type, value: Any) -> None:
-    """A misspelt field must not silently fall back to its default."""
+def _reject_unknown_fields(cls: type, value: Any) -> None:
+    """Reject unknown fields: a misspelt field would keep its default."""
     if isinstance(value, dict):
         unknown = set(value) - {field.name for field in fields(cls)}
         if unknown:
             raise msgspec.ValidationError(
-                f"no such field: {', '.join(sorted(map(str, unknown)))}"
+                f"unknown field: {', '.join(sorted(map(str, unknown)))}"
             )
 
 
 def build_world(items: Iterable[tuple[str, bytes]]) -> tuple[World, list[str]]:
-    """Build the view from items; faulty ones are left out and named."""
+    """Build a snapshot from items.
+
+    Returns:
+        The snapshot without invalid items, and an error message per invalid
+        item.
+    """
     world = World()
     faults = []
     for key, value in items:
--- a/tests/links/__init__.py
+++ b/tests/links/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; the folders mirror the package."""
+"""Tests for the links package."""
--- a/tests/links/test_delay.py
+++ b/tests/links/test_delay.py
@@ -1,4 +1,4 @@
-"""Tests for telling how long a frame was on its way."""
+"""Tests for the estimate of the delay of frames."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """Seconds since boot at the receiver, in a list to be changed."""
+    """Provides the receiver's time since boot in a list that tests modify."""
     now = [1000.0]
     monkeypatch.setattr(delay_module, "since_boot", lambda: now[0])
     return now
@@ -19,13 +19,13 @@
     ("sent_at", "read_at", "late_s"),
     [
         (2.0, 2.001, 0.0),
-        # Read after a pause of the receiver, or held up on the way.
+        # The receiver was paused, or the frame was delayed in transit.
         (2.0, 5.001, 3.0),
-        # Stamped, then held up at the sender.
+        # The frame was delayed at the sender after its timestamp was set.
         (1.0, 5.001, 4.0),
     ],
 )
-def test_delay_is_told_whatever_the_sender_s_clock_shows(
+def test_estimate_is_independent_of_the_sender_clock_offset(
     clock, ahead_s, sent_at, read_at, late_s
 ):
     delay = DelayEstimator()
@@ -37,12 +37,12 @@
     assert delay.estimate_s(stamp) == pytest.approx(late_s, abs=0.002)
 
 
-def test_clocks_that_drift_apart_make_nothing_late(clock):
-    """Requests come to look late, hours after a link was opened.
+def test_clock_drift_does_not_make_frames_late(clock):
+    """Guards against clock drift counting as delay on old links.
 
-    Symptom: an entry's attempts are all refused as given up.
-    Events: the two clocks drift apart by 0.1 ms each second.
-    Cause: the first frames' difference is held against all later ones.
+    The clocks drift apart by 0.1 ms per second. Hours after a link was opened,
+    all attempts of an entry were rejected as abandoned, because later frames
+    were compared with the clock difference of the first frames.
     """
     delay = DelayEstimator()
     for second in range(0, 36_000, 5):
@@ -52,7 +52,7 @@
         assert delay.estimate_s(stamp) < 2 * WINDOW_S * 1e-4 + 0.002
 
 
-def test_frame_without_a_stamp_is_not_late(clock):
+def test_frame_without_timestamp_is_not_late(clock):
     delay = DelayEstimator()
     delay.record_stamp(0)
     assert delay.estimate_s(0) == 0.0
--- a/tests/links/test_keys.py
+++ b/tests/links/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests for rotating link and session keys in place."""
+"""Tests for the rotation of link and session keys."""
 
 import pytest
 
@@ -25,10 +25,10 @@
         ("", True),
     ],
 )
-def test_rotation_keeps_what_is_still_listed(tmp_path, after, accepted):
-    # Symptom: sessions and links are refused fleet-wide during a rotation.
-    # Sequence: a key file is replaced, or caught half-written.
-    # Cause: keys read once at start, or a bad file taken for the new one.
+def test_rotation_keeps_keys_that_are_still_listed(tmp_path, after, accepted):
+    # Guards against sessions and links being rejected fleet-wide while a key
+    # file is replaced: if keys are read only at start, or if a partially
+    # written file replaces the current keys.
     path = tmp_path / "session.keys"
     path.write_text(OLD)
     ring = load_keys(str(path))
--- a/tests/links/test_link.py
+++ b/tests/links/test_link.py
@@ -1,4 +1,4 @@
-"""Tests for one link whose peer is slow or gone."""
+"""Tests for a link whose peer is slow, idle or closed."""
 
 import socket
 import threading
@@ -36,7 +36,7 @@
 
 
 def fill(link):
-    """Send until the socket takes no more and much waits."""
+    """Send until the socket blocks and the backlog reaches 1 MB."""
     count = 0
     while link.backlog_bytes < 1_000_000:
         assert link.send(Chunk("a", count, b"x" * 10_000))
@@ -45,15 +45,14 @@
 
 
 def test_send_to_a_stuck_peer_returns_at_once(ends):
-    """Symptom: healthy answers stall and healthy links are given up.
+    """Guards against one stuck peer stalling answers and links of others.
 
-    Sequence: one peer stops reading; whoever sends to it blocks, be it the
-    task that reads an upstream or the one that reads another peer. Cause: a
-    blocking send, under a lock that others need.
+    When a peer stops reading, a blocking send under a shared lock blocks the
+    sending tasks, including those that read an upstream or another peer.
     """
     near, far = ends
     count = fill(near)
-    # Whether a send blocks shows in that nobody reads and it returns.
+    # Nothing reads at this point, so a blocking send would not return.
     assert near.send(Chunk("a", count, b"last"))
     frames = far.receive()
     got = [next(frames).offset for _ in range(count + 1)]
@@ -61,10 +60,10 @@
 
 
 def test_backlog_is_bounded(ends, monkeypatch):
-    """Symptom: memory grows while a peer is frozen.
+    """Guards against unbounded memory use while a peer is frozen.
 
-    Sequence: the peer reads nothing, answers go on. Cause: a backlog without
-    a bound.
+    Answers continue while the peer reads nothing, so the backlog must have a
+    limit.
     """
     monkeypatch.setattr(link_module, "MAX_BACKLOG_BYTES", 1_100_000)
     near, _ = ends
@@ -74,7 +73,7 @@
     assert near.closed
 
 
-def test_bulk_waits_for_room(ends):
+def test_bulk_sender_waits_for_room(ends):
     near, far = ends
     count = fill(near)
     for index in range(count, count + 80):
@@ -89,39 +88,39 @@
 
 
 @pytest.mark.parametrize(
-    ("heard_ago_s", "busy", "silent"),
+    ("received_ago_s", "busy", "silent"),
     [(6.0, False, False), (20.0, False, True), (6.0, True, False)],
 )
 def test_first_request_after_a_pause_keeps_the_link(
-    ends, heard_ago_s, busy, silent
+    ends, received_ago_s, busy, silent
 ):
-    """Symptom: first requests after a pause lose their link.
+    """Guards against closing a healthy link on the first request after a pause.
 
-    Sequence: an idle link, last heard of six seconds ago, gets a request.
-    Cause: the strict limit of busy links was held against the idle time.
+    An idle link that last received data six seconds ago becomes busy, and the
+    strict silence limit of busy links was applied to the idle time.
     """
     link, _ = ends
     now = time.monotonic()
-    link.last_received = now - heard_ago_s
+    link.last_received = now - received_ago_s
     if busy:
         link.begin()
     limit = SILENCE_S if busy else SILENCE_IDLE_S
     assert (link.silent_s(now) > limit) == silent
 
 
-def test_end_lets_the_peer_read_all(ends):
-    """Symptom: the end of an answer is lost when a sidecar stops.
+def test_end_lets_the_peer_read_all_frames(ends):
+    """Guards against losing the end of an answer when a sidecar stops.
 
-    Sequence: the sidecar closes a socket in which beats wait unread; the
-    reset overtakes the answer. Cause: close instead of an orderly shutdown.
+    Closing a socket that holds unread heartbeats resets the connection, and
+    the reset overtakes the answer; an orderly shutdown is needed.
     """
     near, far = ends
     count = fill(near)
     far.send(Beat())
     stop = threading.Thread(target=near.end)
     stop.start()
-    # Time for an end that does not wait to show itself; one that does is
-    # released by the reading below.
+    # An `end` that does not wait returns within this time; an `end` that waits
+    # is released by the reads below.
     stop.join(0.2)
     assert [frame.offset for frame in far.receive()] == list(range(count))
     assert far.reason == "peer closed"
@@ -129,25 +128,24 @@
 
 
 @pytest.mark.parametrize(
-    ("busy", "spoken", "closed", "lapsed"),
+    ("busy", "sent", "closed", "lapsed"),
     [
         (True, False, False, True),
         (True, True, False, True),
         (True, False, True, True),
-        # Nothing is owed over an idle link.
+        # An idle link requires no heartbeats from this end.
         (False, False, False, False),
         (False, True, True, False),
     ],
 )
-def test_pause_of_one_that_owes_answers_is_told(
-    ends, monkeypatch, busy, spoken, closed, lapsed
+def test_pause_with_outstanding_answers_is_a_lapse(
+    ends, monkeypatch, busy, sent, closed, lapsed
 ):
-    """What was given up during a pause is begun after it.
+    """Guards against running a request on two upstreams after a pause.
 
-    Symptom: a request runs at two upstreams at once.
-    Events: a sidecar is paused; its entry gives the link up and sends the
-    request elsewhere; the sidecar goes on as if no time had passed.
-    Cause: it does not notice its own pause, whichever of its tasks runs first.
+    While a sidecar is paused, its entry closes the link and retries the
+    request elsewhere. The resumed sidecar must detect its own pause, whichever
+    of its tasks runs first.
     """
     link, _ = ends
     now = [since_boot()]
@@ -158,7 +156,7 @@
     began = now[0]
     assert not link.lapsed_since(began)
     now[0] += LAPSE_S + 0.1
-    if spoken:
+    if sent:
         link.send(Beat())
     if closed:
         link.close("peer closed")
@@ -168,12 +166,11 @@
         assert not link.lapsed_since(now[0])
 
 
-def test_close_shows_while_frames_before_it_wait(ends):
-    """Frames of a link that its peer gave up are taken as if it waited.
+def test_close_is_detected_before_pending_frames_are_read(ends):
+    """Guards against starting attempts that their entry has abandoned.
 
-    Symptom: attempts begin whose entry has gone elsewhere.
-    Events: an entry closes a link; its frames are read one by one.
-    Cause: the close is behind the frames and is read after them.
+    When an entry closes a link, the close is queued behind its frames and is
+    only read after them, while each frame is still handled.
     """
     near, far = ends
     assert not far.is_hung_up()
--- a/tests/links/test_wire.py
+++ b/tests/links/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests for the frames between daemons."""
+"""Tests for encoding and decoding frames."""
 
 import pytest
 from hypothesis import given, settings
@@ -20,7 +20,7 @@
 
 @PROPERTY
 @given(MESSAGES)
-def test_frames_come_back_as_they_were(message):
+def test_encoding_round_trip(message):
     frame = encode(message)
     length = int.from_bytes(frame[:LENGTH_BYTES], "big")
     assert length == len(frame) - LENGTH_BYTES
@@ -29,7 +29,7 @@
 
 @PROPERTY
 @given(MESSAGES, st.data())
-def test_damaged_frames_decode_or_are_refused(message, data):
+def test_corrupted_frames_decode_or_are_rejected(message, data):
     frame = bytearray(encode(message)[LENGTH_BYTES:])
     if frame:
         at = data.draw(st.integers(0, len(frame) - 1))
@@ -45,7 +45,7 @@
     "payload",
     [b"", b"\x93", b"\x93\xa1x\xff\xc4\x00", b"\x93\xa1x\xc0\xc0", b"junk"],
 )
-def test_undecodable_frames_are_refused(payload):
+def test_undecodable_frames_are_rejected(payload):
     with pytest.raises(LacewingdockError) as caught:
         decode(payload)
     assert caught.value.kind is ErrorKind.BAD_LINK
--- a/tests/memory_links.py
+++ b/tests/memory_links.py
@@ -1,8 +1,8 @@
-"""Support for joining an entry's answers to a sidecar's runs in memory.
+"""Support for connecting an entry's answers and a sidecar's runs in memory.
 
-Everything between the caller's `take` and the upstream's pieces is the real
-code; only sockets and tasks are replaced, so that a test decides which frame
-arrives when.
+All code between the caller's `take` and the chunks of the upstream is the real
+code; only sockets and tasks are replaced, so that a test controls when each
+frame arrives.
 """
 
 from types import SimpleNamespace
@@ -21,7 +21,7 @@
 
 
 class MemoryLink:
-    """One end of a link; frames wait in `sent` until a test moves them."""
+    """One end of a link; frames stay in `sent` until a test delivers them."""
 
     def __init__(self, peer: Hello) -> None:
         self.peer = peer
@@ -35,34 +35,34 @@
         self.owner: FakePeers
 
     def send(self, message: Message) -> bool:
-        """Send a frame; it waits until a test moves it."""
+        """Queue a frame until a test delivers it."""
         if not self.closed and not self.silent:
             self.sent.append(message)
         return not self.closed
 
     def lapsed_since(self, _since: float) -> bool:
-        """Tell whether the test says that this end was silent too long."""
+        """Return the lapse state set by the test."""
         return self.lapsed
 
     def is_hung_up(self) -> bool:
-        """Tell whether the link is closed."""
+        """Return whether the link is closed."""
         return self.closed
 
     def begin(self) -> None:
-        """Count an outstanding answer."""
+        """Increment the number of outstanding answers."""
         self.busy.add(1)
 
     def finish(self) -> None:
-        """Count it off."""
+        """Decrement the number of outstanding answers."""
         self.busy.add(-1)
 
     def wait_for_room(self) -> bool:
-        """Tell whether the link is open."""
+        """Return whether the link is open."""
         return not self.closed
 
 
 class FakePeers:
-    """Holds the handlers that components register."""
+    """Stores the handlers that components register."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, list[Any]] = {}
@@ -75,13 +75,13 @@
         self.handlers.setdefault(cls, []).append(handler)
 
     def deliver(self, link: MemoryLink, message: Message) -> None:
-        """Hand a frame to its handlers."""
+        """Pass a frame to its handlers."""
         for handler in self.handlers.get(type(message), ()):
             handler(link, message)
 
 
 class FakeDaemon:
-    """Runs tasks at once, but for the ones that would call an upstream."""
+    """Runs tasks immediately, except those that would call an upstream."""
 
     def __init__(self, name: str, incarnation: str) -> None:
         self.me = Hello(name, incarnation, "", "hall-a", b"")
@@ -89,16 +89,16 @@
         self.metrics = prometheus_client.CollectorRegistry()
 
     def add(self, name: str, component: Any) -> None:
-        """Take a component in."""
+        """Ignore a component."""
 
     def spawn(self, function: Any, *args: Any) -> None:
-        """Run a task at once."""
+        """Run a task immediately, unless it calls an upstream."""
         if getattr(function, "__name__", "") != "_serve":
             function(*args)
 
 
 class Pair:
-    """An entry and a sidecar; `links` are the entry's ends, oldest first."""
+    """An entry and a sidecar; `links` holds the entry ends, oldest first."""
 
     def __init__(self, **settings: Any) -> None:
         self.settings = SidecarSettings(
@@ -127,7 +127,7 @@
         self.connect()
 
     def start_sidecar(self) -> None:
-        """Start a sidecar, without what an earlier one knew."""
+        """Start a sidecar without the state of an earlier one."""
         self.starts += 1
         self.daemon = FakeDaemon("worker-0", f"w{self.starts}")
         self.peers = FakePeers()
@@ -153,7 +153,7 @@
         return near
 
     def close(self, link: MemoryLink) -> None:
-        """Close both ends and tell the components."""
+        """Close both ends and notify the components."""
         for end in (link, link.other):
             if not end.closed:
                 end.closed = True
@@ -161,13 +161,13 @@
                     callback(end)
 
     def move(self, end: MemoryLink, count: int = 1_000_000) -> None:
-        """Let frames that an end sent arrive at the other."""
+        """Deliver queued frames of one end to the other."""
         for _ in range(min(count, len(end.sent))):
             message = end.sent.pop(0)
             end.other.owner.deliver(end.other, message)
 
     def deliver_all(self) -> None:
-        """Let everything arrive that is on its way over open links."""
+        """Deliver all queued frames of open links."""
         while any(k.sent or k.other.sent for k in self.links if not k.closed):
             for link in self.links:
                 if not link.closed:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests for the command line: every error has its code and exit status."""
+"""Tests for the command line and its error codes and exit statuses."""
 
 import socket
 
@@ -19,8 +19,8 @@
 
 
 @pytest.fixture
-def places(tmp_path):
-    """Paths and a taken port for the command lines of the table."""
+def parameters(tmp_path):
+    """Provides paths and a port in use for the command lines of the table."""
     (tmp_path / "keys").write_text("k1 sixteen-characters-at-least\n")
     (tmp_path / "short").write_text("k1 my-secret\n")
     (tmp_path / "faulty.yaml").write_text(
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "status", "said"),
+    ("line", "status", "message"),
     [
         ("", 0, "Commands:"),
         ("--help", 0, "Commands:"),
@@ -95,11 +95,11 @@
         ),
     ],
 )
-def test_exit_status_and_what_is_said(places, capfd, line, status, said):
-    words = line.format(**places).split()
+def test_exit_status_and_message(parameters, capfd, line, status, message):
+    words = line.format(**parameters).split()
     if words[:1] == ["ENTRY"]:
         words[:1] = ENTRY
     assert run_command(words) == status
     output = "".join(capfd.readouterr())
-    assert said in output
+    assert message in output
     assert "my-secret" not in output and "Traceback" not in output
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -35,7 +35,7 @@
 
 
 def fault(cls, flags, environ=None):
-    """Return what is said of bad settings; empty when they are good."""
+    """Return the error detail for settings; empty if they are valid."""
     try:
         load_settings(cls, flags, environ or {})
     except LacewingdockError as error:
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cls", "change", "said"),
+    ("cls", "change", "message"),
     [
         (EntrySettings, {}, ""),
         (SidecarSettings, {}, ""),
@@ -54,8 +54,8 @@
         (EntrySettings, {"port": "70000"}, "an integer from 0 to 65535"),
         (EntrySettings, {"port": "x"}, "--port='x': want an integer"),
         (EntrySettings, {"grace_s": "nan"}, "a number above 0 up to 86400"),
-        (EntrySettings, {"host": "1.2.3.256"}, "want an IP number"),
-        (EntrySettings, {"host": "localhost"}, "want an IP number"),
+        (EntrySettings, {"host": "1.2.3.256"}, "want an IPv4 address"),
+        (EntrySettings, {"host": "localhost"}, "want an IPv4 address"),
         (EntrySettings, {"platform": "http://1.2.3.4:65536"}, "want a URL"),
         (EntrySettings, {"platform": "ftp://1.2.3.4:1"}, "want a URL"),
         (EntrySettings, {"log_level": "loud"}, "one of debug, info"),
@@ -74,10 +74,10 @@
         (SidecarSettings, {"service": "booking"}, "--service: only with"),
     ],
 )
-def test_each_fault_names_setting_and_what_is_allowed(cls, change, said):
+def test_each_fault_names_the_setting_and_allowed_values(cls, change, message):
     base = ENTRY if cls is EntrySettings else SIDECAR
     found = fault(cls, {**base, **change})
-    assert said in found and bool(said) == bool(found)
+    assert message in found and bool(message) == bool(found)
 
 
 def test_all_faults_are_named_at_once():
@@ -86,7 +86,7 @@
     assert MatchesAll(*map(Contains, wanted)).match(found) is None
 
 
-def test_a_flag_goes_before_its_variable():
+def test_flag_takes_precedence_over_its_variable():
     environ = {variable_name(n): v for n, v in ENTRY.items()}
     found = load_settings(EntrySettings, {"instance": "flag"}, environ)
     assert (found.instance, found.failure_domain) == ("flag", "hall-a")
@@ -101,10 +101,11 @@
 
 
 @pytest.mark.parametrize("cls", [EntrySettings, SidecarSettings])
-def test_variables_of_each_command_are_known_to_all(cls):
-    """Symptom: no daemon starts where a command's variable is set.
+def test_variables_of_each_command_are_accepted_by_all(cls):
+    """Guards against daemons that reject the variable of another command.
 
-    Cause: the command's settings were missing in the list of them.
+    Daemons failed to start because the settings class of the command was
+    missing from `OTHER_SETTINGS`.
     """
     settings = [
         found
@@ -126,16 +127,19 @@
 
 
 @pytest.mark.parametrize(
-    ("bounds", "said"),
+    ("bounds", "description"),
     [
         (Meta(ge=0, le=1), "a number from 0 to 1"),
         (Meta(ge=0.0, le=1.0), "a number from 0 to 1"),
         (Meta(gt=0.25, lt=86400.0), "a number above 0.25 below 86400"),
     ],
 )
-def test_bounds_read_alike_whatever_was_imported_first(bounds, said):
-    """Symptom: a table says "from 0" or "from 0.0" by the order of the tests.
+def test_description_of_bounds_is_independent_of_import_order(
+    bounds, description
+):
+    """Guards against descriptions that depend on the order of imports.
 
-    Cause: `typing` keeps one of two equal annotations, and 0 equals 0.0.
+    `typing` caches one of two equal annotations, and 0 equals 0.0, so a table
+    showed "from 0" or "from 0.0" depending on the order of the tests.
     """
-    assert allowed(Annotated[float, bounds]) == said
+    assert allowed(Annotated[float, bounds]) == description
