--- a/lacewingdock/components/upstreams/connection.py
+++ b/lacewingdock/components/upstreams/connection.py
@@ -12,7 +12,7 @@
 from lacewingdock.exceptions import UpstreamLost
 from lacewingdock.helpers.sockets import peer_closed
 from lacewingdock.platform.wire import read_answer
-from lacewingdock.world.call import AnswerHead, Headers
+from lacewingdock.world.call import Headers, ResponseHead
 
 # Largest read, in bytes: a usual receive window, so that one read returns all
 # that has arrived.
@@ -44,7 +44,7 @@
         sock: The socket.
         parser: State of the HTTP parser.
         idle_since: Monotonic time since which the connection is idle.
-        keep_s: Seconds for which the connection may stay idle.
+        keep_alive_s: Seconds for which the connection may stay idle.
         last_received_at: Monotonic time of the last bytes received.
         ended: Whether the upstream closed or reset the connection.
     """
@@ -56,16 +56,16 @@
         "_watched",
         "ended",
         "idle_since",
-        "keep_s",
+        "keep_alive_s",
         "last_received_at",
         "parser",
         "sock",
     )
 
-    def __init__(self, sock: socket.socket, keep_s: float) -> None:
+    def __init__(self, sock: socket.socket, keep_alive_s: float) -> None:
         """Wrap a connected socket that may stay idle for `keep_s` seconds."""
         self.sock = sock
-        self.keep_s = keep_s
+        self.keep_alive_s = keep_alive_s
         self.idle_since = time.monotonic()
         self.last_received_at = 0.0
         self.ended = False
@@ -83,7 +83,7 @@
         that is still to be sent.
         """
         idle_s = time.monotonic() - self.idle_since
-        return idle_s < self.keep_s and not self._poll.poll(0)
+        return idle_s < self.keep_alive_s and not self._poll.poll(0)
 
     def send(
         self,
@@ -120,7 +120,7 @@
         if caller is not None:
             self._poll.register(caller, select.POLLIN)
 
-    def read_head(self, until: float) -> AnswerHead:
+    def read_head(self, until: float) -> ResponseHead:
         """Read the response head, skipping responses to other requests.
 
         An upstream may send a second response to an earlier request, in the
--- a/lacewingdock/components/upstreams/pool.py
+++ b/lacewingdock/components/upstreams/pool.py
@@ -64,7 +64,7 @@
         self,
         entry: UpstreamEntry,
         connection: UpstreamConnection,
-        keep_s: float | None,
+        keep_alive_s: float | None,
         closes: bool,
     ) -> None:
         """Keep a connection for another request if it can be reused.
@@ -72,17 +72,17 @@
         Args:
             entry: The instance.
             connection: The connection.
-            keep_s: Keep-alive time that the upstream announces, in seconds;
-                None if it announces none.
+            keep_alive_s: Keep-alive time that the upstream announces, in
+                seconds; None if it announces none.
             closes: Whether the upstream closes the connection.
         """
         if closes or not connection.reset():
             connection.close()
             return
-        connection.keep_s = (
+        connection.keep_alive_s = (
             DEFAULT_KEEP_ALIVE_S
-            if keep_s is None
-            else keep_s - KEEP_ALIVE_MARGIN_S
+            if keep_alive_s is None
+            else keep_alive_s - KEEP_ALIVE_MARGIN_S
         )
         with self._lock:
             kept = self.idle.setdefault(entry.incarnation, [])
@@ -97,8 +97,8 @@
         with self._lock:
             old = []
             for instance, kept in list(self.idle.items()):
-                fresh = [c for c in kept if now - c.idle_since < c.keep_s]
-                old += [c for c in kept if now - c.idle_since >= c.keep_s]
+                fresh = [c for c in kept if now - c.idle_since < c.keep_alive_s]
+                old += [c for c in kept if now - c.idle_since >= c.keep_alive_s]
                 if fresh:
                     self.idle[instance] = fresh
                 else:
--- a/lacewingdock/components/upstreams/signals.py
+++ b/lacewingdock/components/upstreams/signals.py
@@ -28,7 +28,7 @@
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.helpers.lru import insert_lru
 from lacewingdock.world.backend import UpstreamEntry
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 
 # Most starts of instances whose signals are kept; more than a fleet has.
 MAX_REMEMBERED: Final = 16_384
@@ -99,7 +99,7 @@
         self,
         entry: UpstreamEntry,
         signals: Signals,
-        head: AnswerHead,
+        head: ResponseHead,
         sent_at: float,
     ) -> bool:
         """Apply the signals in an answer.
@@ -164,16 +164,16 @@
         _log_limit(entry, limit, now, router)
 
     def _apply_limit(
-        self, limit: RateLimit, head: AnswerHead, sent_at: float, now: float
+        self, limit: RateLimit, head: ResponseHead, sent_at: float, now: float
     ) -> None:
         if head.limit_per_s is not None:
             self.limits_named += limit.at(now) is None
             limit.set_own(head.limit_per_s, sent_at, now)
-        elif _ran_and_signed(head) and not head.limit_unread:
+        elif _ran_and_signed(head) and not head.limit_malformed:
             limit.clear_own(sent_at)
 
     def _apply_rest(
-        self, rest: Rest, head: AnswerHead, sent_at: float, now: float
+        self, rest: Rest, head: ResponseHead, sent_at: float, now: float
     ) -> bool:
         """Apply the rest in an answer; return whether a rest begins."""
         if head.rest_s is None:
@@ -187,7 +187,7 @@
         return begins
 
 
-def _ran_and_signed(head: AnswerHead) -> bool:
+def _ran_and_signed(head: ResponseHead) -> bool:
     """Whether an answer without a signal proves that there is none.
 
     An instance that did not run a request may not have reached the point where
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -54,7 +54,7 @@
     World,
 )
 from lacewingdock.world import host
-from lacewingdock.world.call import AnswerHead, Call
+from lacewingdock.world.call import Call, ResponseHead
 from lacewingdock.world.route import Repeat, Route, ServiceLimits, Target
 
 SERVICE: Final = "engines"
@@ -367,7 +367,7 @@
         progress.tried.append(instance.entry.incarnation)
         sent_at = env.now
         if not engine.submit(run):
-            head = AnswerHead(503, [], not_run=True, rest_s=engine.rest_s)
+            head = ResponseHead(503, [], not_run=True, rest_s=engine.rest_s)
             self._apply_signals(instance, engine, head, sent_at)
             instance.failed(0.5)
             return AttemptEnd.LOST
@@ -382,7 +382,7 @@
                 cascade, instance, timed_out=not run.began.triggered
             )
             return AttemptEnd.LOST
-        head = AnswerHead(
+        head = ResponseHead(
             200,
             [],
             sealed=True,
@@ -412,7 +412,7 @@
         self,
         instance: UpstreamInstance,
         engine: Engine,
-        head: AnswerHead,
+        head: ResponseHead,
         sent_at: float,
     ) -> None:
         """Apply the limit, rest and leaving notice in an engine's answer."""
@@ -451,7 +451,7 @@
         return AttemptEnd.LOST
 
     def _accepts_answer(
-        self, cascade: Cascade, head: AnswerHead, progress: _Progress
+        self, cascade: Cascade, head: ResponseHead, progress: _Progress
     ) -> bool:
         if self.world.policy.first is not FirstModel.CASCADE:
             return True
--- a/lacewingdock/platform/wire.py
+++ b/lacewingdock/platform/wire.py
@@ -8,7 +8,7 @@
 import re
 from typing import Final
 
-from lacewingdock.world.call import AnswerHead, Call, Headers, Sending
+from lacewingdock.world.call import AttemptOptions, Call, Headers, ResponseHead
 
 ATTEMPT_ID: Final = b"attempt-id"
 CREDENTIAL: Final = b"credential"
@@ -133,7 +133,7 @@
         ],
         key=_decode_text(first.get(CREDENTIAL, b"")),
         session=_decode_text(first.get(SESSION, b"")),
-        patience_s=_parse_milliseconds(first.get(DEADLINE)),
+        caller_timeout_s=_parse_milliseconds(first.get(DEADLINE)),
         last_event=_decode_text(first.get(LAST_EVENT_ID, b"")),
         model=model,
         any_model=model == ANY_MODEL,
@@ -143,7 +143,7 @@
     )
 
 
-def upstream_headers(call: Call, sending: Sending) -> Headers:
+def upstream_headers(call: Call, sending: AttemptOptions) -> Headers:
     """Encode the headers of a request to an upstream."""
     headers = [
         pair
@@ -169,7 +169,7 @@
     return headers
 
 
-def read_answer(status: int, headers: Headers, raw: Headers) -> AnswerHead:
+def read_answer(status: int, headers: Headers, raw: Headers) -> ResponseHead:
     """Decode the head of an upstream's answer.
 
     Args:
@@ -192,7 +192,7 @@
         LEAVING: not leaving,
         RETRY_AFTER: rejected and rest_s is None,
     }
-    return AnswerHead(
+    return ResponseHead(
         status=status,
         headers=[
             pair
@@ -207,10 +207,10 @@
         sealed=RESPONSE_SEAL in first,
         encoded=encoding not in (b"", b"identity"),
         confidence=_parse_number(first.get(CONFIDENCE)),
-        keep_s=_keep_alive_s(first.get(b"keep-alive", b"")),
+        keep_alive_s=_keep_alive_s(first.get(b"keep-alive", b"")),
         closes=b"close" in connection,
         limit_per_s=limit_per_s,
-        limit_unread=LIMIT in first and limit_per_s is None,
+        limit_malformed=LIMIT in first and limit_per_s is None,
         rest_s=rest_s,
         leaving=leaving,
         odd=tuple(
--- a/tests/components/gossip/test_limits.py
+++ b/tests/components/gossip/test_limits.py
@@ -9,7 +9,7 @@
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.limits import RateLimit
 from lacewingdock.daemons.router_ports import build_gossip
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from lacewingdock.world.host import HostProfile
 from tests.components.upstreams.entries import entry
 
@@ -52,7 +52,7 @@
     """
     sender, directory = router("r-1", 70)
     receiver, other = router("r-2", 70)
-    head = AnswerHead(200, [], limit_per_s=2.0)
+    head = ResponseHead(200, [], limit_per_s=2.0)
     for one in directory.instances.values():
         directory.signals.answered(one.entry, one.signals, head, 0.0)
     message = decode(encode(sender.compose(1)))
--- a/tests/components/pacing/limited_fleet.py
+++ b/tests/components/pacing/limited_fleet.py
@@ -8,7 +8,7 @@
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 from lacewingdock.world.host import Bounds
 from tests.components.upstreams.entries import entry
 from tests.timeline import Timeline
@@ -108,7 +108,7 @@
         fleet = self.fleet
         limit = fleet.limit()
         fleet.arrivals.append((fleet.now(), self.name))
-        head = AnswerHead(200, [], sealed=True, limit_per_s=limit)
+        head = ResponseHead(200, [], sealed=True, limit_per_s=limit)
         fleet.after(
             fleet.random_delay(MAX_RETURN_S),
             self.answered,
--- a/tests/fuzz/test_links.py
+++ b/tests/fuzz/test_links.py
@@ -13,7 +13,7 @@
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.links.handshake import accept
 from lacewingdock.links.keys import KeyRing
-from lacewingdock.links.link import _split, read_frame
+from lacewingdock.links.link import _split_frames, read_frame
 from lacewingdock.links.messages import (
     Beat,
     Chunk,
@@ -75,7 +75,7 @@
 @given(st.lists(mutated(FRAMES), max_size=4).map(b"".join))
 def test_split(data):
     pending = bytearray(data)
-    coded(lambda: list(_split(pending)))
+    coded(lambda: list(_split_frames(pending)))
     assert len(pending) <= len(data)
 
 
@@ -149,4 +149,4 @@
 def test_split_refuses_a_frame_beyond_the_limit_at_once():
     pending = bytearray((MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
     with pytest.raises(LacewingdockError, match="bad_link"):
-        list(_split(pending))
+        list(_split_frames(pending))
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -12,7 +12,7 @@
 import pytest
 
 from lacewingdock.platform import wire
-from lacewingdock.world.call import AnswerHead
+from lacewingdock.world.call import ResponseHead
 
 ROOT = Path(__file__).parents[2]
 PACKAGE = ROOT / "lacewingdock"
@@ -26,7 +26,7 @@
 # Ordinary headers of any answer, which ask for no action.
 ORDINARY = {"cache-control", "content-length", "content-type", "date", "server"}
 KNOWN = {name.decode() for name in wire._KNOWN_ANSWER_HEADERS}
-FIELDS = [one.name for one in dataclasses.fields(AnswerHead)]
+FIELDS = [one.name for one in dataclasses.fields(ResponseHead)]
 READERS = "\n".join(
     path.read_text()
     for path in (PACKAGE / "components").rglob("*.py")
