--- a/tests/components/billing/test_billing_machine.py
+++ b/tests/components/billing/test_billing_machine.py
@@ -111,7 +111,7 @@
     def places(self, attempt):
         """Count the living copies of a bill."""
         late = FakeStore()
-        for collection, name, value, _ in self.store.late:
+        for collection, name, value, _, _ in self.store.late:
             objects = late.objects.setdefault(collection, {})
             objects[name] = type("Late", (), {"value": value})
         return (
