--- a/bench/billing.py
+++ b/bench/billing.py
@@ -27,7 +27,7 @@
 from lacewingdock.components.billing.entry import write_interval_s
 from lacewingdock.components.billing.ledger import Ledger
 from lacewingdock.components.billing.outbox import Outbox
-from lacewingdock.components.billing.record import bill_of, encode_bill
+from lacewingdock.components.billing.record import build_bill, encode_bill
 from lacewingdock.helpers.ids import new_id
 from lacewingdock.links.messages import Attempt, Bills, Finish, Hello
 from lacewingdock.links.wire import LENGTH_BYTES, decode, encode
@@ -125,13 +125,13 @@
     runs = ended_runs(CPU_BILLS)
     start = time.process_time()
     for run, finish in runs:
-        bill = bill_of(run, finish, world)
+        bill = build_bill(run, finish, world)
         outbox.record(bill.attempt, encode_bill(bill))
     sidecar = time.process_time() - start
     start = time.process_time()
     for index, frame in enumerate(to_entry.frames, 1):
         message: Any = decode(frame[LENGTH_BYTES:])
-        ledger.offer(to_sidecar, message)
+        ledger.receive(to_sidecar, message)
         if index % batch == 0:
             ledger.flush()
     ledger.flush()
@@ -155,7 +155,7 @@
 def plain_row_bytes() -> float:
     """Measure a row as a JSON object, unpacked, for comparison."""
     ((run, finish),) = ended_runs(1)
-    bill = bill_of(run, finish, World())
+    bill = build_bill(run, finish, World())
     return len(msgspec.json.encode(msgspec.structs.asdict(bill))) + 1
 
 
@@ -163,7 +163,9 @@
     """Measure megabytes of a full outbox and a full ledger."""
     rows = {}
     for run, finish in ended_runs(MAX_HELD):
-        rows[run.attempt.attempt] = encode_bill(bill_of(run, finish, World()))
+        rows[run.attempt.attempt] = encode_bill(
+            build_bill(run, finish, World())
+        )
     link: Any = Wire(Hello("sidecar", "i", "sidecar", "a", b""))
 
     def fill_outbox() -> Any:
@@ -176,7 +178,7 @@
         ledger = Ledger(MemoryStore(), "entry", "i")
         for row in list(rows.values())[:MAX_PENDING]:
             message = Bills(ledger.own, 0, False, [bytes(bytearray(row))])
-            ledger.offer(link, message)
+            ledger.receive(link, message)
         return ledger
 
     return _megabytes(fill_outbox), _megabytes(fill_ledger)
--- a/lacewingdock/components/billing/entry.py
+++ b/lacewingdock/components/billing/entry.py
@@ -7,8 +7,8 @@
 
 from lacewingdock.components.billing.const import (
     LEDGER_WRITES_PER_S,
-    MAX_INTERVAL_S,
-    MIN_INTERVAL_S,
+    MAX_WRITE_INTERVAL_S,
+    MIN_WRITE_INTERVAL_S,
     NAME,
     RETRY_S,
 )
@@ -79,11 +79,11 @@
         If it died this entry is the one place that has its bills. Waiting
         for the next write would lose them if this entry died too.
         """
-        if self.ledger.holds_of(link):
+        if self.ledger.has_bills_from(link):
             self.wake.set()
 
     def _on_bills(self, link: Link, message: Bills) -> None:
-        self.ledger.offer(link, message)
+        self.ledger.receive(link, message)
         if message.urgent:
             self.wake.set()
 
@@ -97,7 +97,7 @@
 
     def _write(self) -> bool:
         try:
-            if self.ledger.roll():
+            if self.ledger.rotate():
                 for link in tuple(self.peers.links):
                     self._announce(link)
             return self.ledger.flush()
@@ -115,7 +115,7 @@
 def write_interval_s(entries: int) -> float:
     """Seconds between an entry's writes, so that all share the rate."""
     fair = entries / LEDGER_WRITES_PER_S
-    return min(max(fair, MIN_INTERVAL_S), MAX_INTERVAL_S)
+    return min(max(fair, MIN_WRITE_INTERVAL_S), MAX_WRITE_INTERVAL_S)
 
 
 def setup(
--- a/lacewingdock/components/billing/ledger.py
+++ b/lacewingdock/components/billing/ledger.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from lacewingdock.components.billing.const import MAX_PENDING
-from lacewingdock.components.billing.record import attempt_of
+from lacewingdock.components.billing.record import decode_attempt_id
 from lacewingdock.const import COLLECTION_LEDGER
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.append_log import AppendLog, SlotStore
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingBills:
     """Bills that wait to be written to one log.
 
     Attributes:
@@ -83,7 +83,7 @@
         self.clock = clock
         self.own = log_name(instance, incarnation, clock())
         self.logs: dict[str, AppendLog] = {self.own: self._open(self.own, 0)}
-        self.pending: dict[str, Pending] = {}
+        self.pending: dict[str, PendingBills] = {}
         self.written = 0
         self.declined = 0
         self._lock = threading.Lock()
@@ -98,7 +98,7 @@
         """Count the bills that wait."""
         return sum(len(p.rows) for p in tuple(self.pending.values()))
 
-    def offer(self, link: Link, message: Bills) -> None:
+    def receive(self, link: Link, message: Bills) -> None:
         """Take bills in; what is here already is only noted again.
 
         Without room the offer is left: the sidecar still has the bill, so
@@ -113,23 +113,23 @@
                 self.declined += len(rows)
                 return
             pending = self.pending.setdefault(
-                message.log, Pending(message.after)
+                message.log, PendingBills(message.after)
             )
             pending.after = min(pending.after, message.after)
             for attempt, row in rows.items():
                 pending.rows[attempt] = row
                 pending.links[attempt] = link
 
-    def holds_of(self, link: Link) -> bool:
+    def has_bills_from(self, link: Link) -> bool:
         """Tell whether bills wait that came over a link."""
         with self._lock:
             return any(
-                link is known
+                link is pending_link
                 for pending in self.pending.values()
-                for known in pending.links.values()
+                for pending_link in pending.links.values()
             )
 
-    def roll(self) -> bool:
+    def rotate(self) -> bool:
         """Begin the day's log; tells whether it is a new one."""
         name = log_name(self.instance, self.incarnation, self.clock())
         if name == self.own:
@@ -163,36 +163,38 @@
         except LacewingdockError as error:
             log.warning("ledger not written", log=name, error=error.detail)
             done = False
-        self._keep(name, [a for a in rows if a in target.seen])
+        self._acknowledge(name, [a for a in rows if a in target.seen])
         target.forget()
         return done
 
-    def _keep(self, name: str, attempts: list[str]) -> None:
+    def _acknowledge(self, name: str, attempts: list[str]) -> None:
         """Let go of bills that were seen in the ledger, and say so."""
-        told: dict[Link, list[str]] = {}
+        acknowledged: dict[Link, list[str]] = {}
         with self._lock:
             pending = self.pending[name]
             for attempt in attempts:
                 pending.rows.pop(attempt, None)
                 link = pending.links.pop(attempt, None)
                 if link is not None:
-                    told.setdefault(link, []).append(attempt)
+                    acknowledged.setdefault(link, []).append(attempt)
             self.written += len(attempts)
             if not pending.rows:
                 del self.pending[name]
                 if name != self.own:
                     self.logs.pop(name, None)
         own = self.announcement()
-        for link, kept in told.items():
+        for link, kept in acknowledged.items():
             link.send(BillsKept(own.log, own.slot, kept))
 
     def _open(self, name: str, first: int) -> AppendLog:
-        return AppendLog(self.store, COLLECTION_LEDGER, name, attempt_of, first)
+        return AppendLog(
+            self.store, COLLECTION_LEDGER, name, decode_attempt_id, first
+        )
 
 
 def _by_attempt(rows: list[bytes]) -> dict[str, bytes]:
     try:
-        return {attempt_of(row): row for row in rows}
+        return {decode_attempt_id(row): row for row in rows}
     except msgspec.DecodeError as error:
         raise LacewingdockError(
             ErrorKind.BAD_LINK, f"a row is no bill: {error}"
--- a/lacewingdock/components/billing/outbox.py
+++ b/lacewingdock/components/billing/outbox.py
@@ -7,16 +7,16 @@
 from dataclasses import dataclass, field
 
 from lacewingdock.components.billing.const import (
+    MAX_BILLS_PER_MESSAGE,
     MAX_HELD,
-    MAX_OFFERED,
-    RESEND_S,
+    RESEND_TIMEOUT_S,
 )
 from lacewingdock.links.link import Link
 from lacewingdock.links.messages import Bills, BillsKept
 
 
 @dataclass(slots=True)
-class Held:
+class HeldBill:
     """A bill that isn't known to be in the ledger.
 
     Attributes:
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Holder:
+class LogWriter:
     """An entry that takes bills.
 
     Attributes:
@@ -80,9 +80,9 @@
         "clock",
         "failure_domain",
         "held",
-        "holders",
         "instance",
         "kept",
+        "log_writers",
     )
 
     def __init__(
@@ -95,8 +95,8 @@
         self.instance = instance
         self.failure_domain = failure_domain
         self.clock = clock
-        self.held: dict[str, Held] = {}
-        self.holders: dict[Link, Holder] = {}
+        self.held: dict[str, HeldBill] = {}
+        self.log_writers: dict[Link, LogWriter] = {}
         self.kept = 0
         self._lock = threading.Lock()
 
@@ -112,14 +112,14 @@
         may die.
         """
         with self._lock:
-            self.held[attempt] = Held(row)
-            batches = self._offers([attempt])
+            self.held[attempt] = HeldBill(row)
+            batches = self._assign_batches([attempt])
         self._send(batches, urgent=False)
 
     def on_kept(self, link: Link, message: BillsKept) -> None:
         """Take an entry's word on its log and on what the ledger has."""
         with self._lock:
-            self.holders[link] = Holder(link, message.log, message.slot)
+            self.log_writers[link] = LogWriter(link, message.log, message.slot)
             for attempt in message.attempts:
                 self.kept += self.held.pop(attempt, None) is not None
 
@@ -131,11 +131,11 @@
         read.
         """
         with self._lock:
-            self.holders.pop(link, None)
-            left = [a for a, h in self.held.items() if h.link is link]
-            for attempt in left:
+            self.log_writers.pop(link, None)
+            unassigned = [a for a, h in self.held.items() if h.link is link]
+            for attempt in unassigned:
                 self.held[attempt].link = None
-            batches = self._offers(left)
+            batches = self._assign_batches(unassigned)
         self._send(batches, urgent=False)
 
     def sweep(self, urgent: bool = False) -> None:
@@ -150,13 +150,13 @@
             due = [
                 a for a, h in self.held.items() if urgent or self._due(h, now)
             ]
-            batches = self._offers(due)
+            batches = self._assign_batches(due)
         self._send(batches, urgent)
 
-    def _due(self, held: Held, now: float) -> bool:
-        return held.link is None or now - held.offered > RESEND_S
+    def _due(self, held: HeldBill, now: float) -> bool:
+        return held.link is None or now - held.offered > RESEND_TIMEOUT_S
 
-    def _offers(
+    def _assign_batches(
         self, attempts: Iterable[str]
     ) -> dict[tuple[Link, str], list[_Batch]]:
         """Choose a holder for each bill and note the offer."""
@@ -164,14 +164,14 @@
         batches: dict[tuple[Link, str], list[_Batch]] = {}
         for attempt in attempts:
             held = self.held[attempt]
-            holder = self._choose(held)
-            if holder is None:
+            writer = self._choose_writer(held)
+            if writer is None:
                 continue
             if not held.log:
-                held.log, held.after = holder.log, holder.slot
-            held.link, held.offered = holder.link, now
-            group = batches.setdefault((holder.link, held.log), [])
-            if not group or len(group[-1].rows) >= MAX_OFFERED:
+                held.log, held.after = writer.log, writer.slot
+            held.link, held.offered = writer.link, now
+            group = batches.setdefault((writer.link, held.log), [])
+            if not group or len(group[-1].rows) >= MAX_BILLS_PER_MESSAGE:
                 group.append(_Batch(held.after))
             batch = group[-1]
             batch.after = min(batch.after, held.after)
@@ -179,7 +179,7 @@
             batch.rows.append(held.row)
         return batches
 
-    def _choose(self, held: Held) -> Holder | None:
+    def _choose_writer(self, held: HeldBill) -> LogWriter | None:
         """Choose who holds a bill.
 
         The writer of its log, if it is linked; a first offer goes to an
@@ -187,14 +187,14 @@
         both places. Among those the choice is steady, so that few sidecars
         depend on one log.
         """
-        holders = list(self.holders.values())
-        for holder in holders:
-            if held.log and holder.log == held.log:
-                return holder
-        return max(holders, key=self._preference, default=None)
-
-    def _preference(self, holder: Holder) -> tuple[bool, bytes]:
-        peer = holder.link.peer
+        log_writers = list(self.log_writers.values())
+        for writer in log_writers:
+            if held.log and writer.log == held.log:
+                return writer
+        return max(log_writers, key=self._preference, default=None)
+
+    def _preference(self, writer: LogWriter) -> tuple[bool, bytes]:
+        peer = writer.link.peer
         text = f"{self.instance}\0{peer.instance}"
         elsewhere = peer.failure_domain != self.failure_domain
         return elsewhere, hashlib.sha256(text.encode()).digest()
@@ -206,9 +206,9 @@
             for batch in group:
                 message = Bills(log, batch.after, urgent, batch.rows)
                 if not link.send(message):
-                    self._not_sent(link, batch.attempts)
+                    self._unassign(link, batch.attempts)
 
-    def _not_sent(self, link: Link, attempts: list[str]) -> None:
+    def _unassign(self, link: Link, attempts: list[str]) -> None:
         """Let the next sweep try again; a stuck entry must not hold answers."""
         with self._lock:
             for attempt in attempts:
--- a/lacewingdock/components/billing/reader.py
+++ b/lacewingdock/components/billing/reader.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Line:
+class StatementLine:
     """The bills of one version or service.
 
     Attributes:
@@ -53,7 +53,7 @@
     day: str
     requests: int = 0
     cost: int = 0
-    lines: dict[str, Line] = field(default_factory=dict)
+    lines: dict[str, StatementLine] = field(default_factory=dict)
 
 
 def read_statement(store: ObjectStore, workspace: str, day: str) -> Statement:
@@ -71,20 +71,20 @@
     Raises:
         LacewingdockError: BAD_COMMAND for a bad day; PLATFORM_UNAVAILABLE.
     """
-    today = _parse(day)
+    today = _parse_day(day)
     rows: list[tuple[str, Bill]] = []
     for offset in (-1, 0, 1):
-        near = (today + datetime.timedelta(offset)).strftime(DAY_FORMAT)
+        log_day = (today + datetime.timedelta(offset)).strftime(DAY_FORMAT)
         rows += [
-            (near, bill)
-            for bill in read_day(store, near)
+            (log_day, bill)
+            for bill in read_day(store, log_day)
             if bill.workspace == workspace
         ]
     charged = charged_attempts(bill for _, bill in rows)
     statement = Statement(workspace, day)
     requests = set()
-    for near, bill in rows:
-        if near == day:
+    for log_day, bill in rows:
+        if log_day == day:
             _add(statement, bill, bill.attempt in charged)
             if bill.attempt in charged:
                 requests.add(bill.request)
@@ -116,10 +116,10 @@
     for bill in bills:
         if bill.outcome not in CHARGED:
             continue
-        place = (bill.request, bill.step)
-        known = best.get(place)
-        if known is None or _rank(bill) < _rank(known):
-            best[place] = bill
+        key = (bill.request, bill.step)
+        current = best.get(key)
+        if current is None or _rank(bill) < _rank(current):
+            best[key] = bill
     return {bill.attempt for bill in best.values()}
 
 
@@ -128,7 +128,7 @@
 
 
 def _add(statement: Statement, bill: Bill, charged: bool) -> None:
-    line = statement.lines.setdefault(bill.target, Line(bill.target))
+    line = statement.lines.setdefault(bill.target, StatementLine(bill.target))
     if not charged:
         line.uncharged += 1
         line.uncharged_cost += bill.cost
@@ -140,7 +140,7 @@
     statement.cost += bill.cost
 
 
-def _parse(day: str) -> datetime.date:
+def _parse_day(day: str) -> datetime.date:
     try:
         return datetime.datetime.strptime(day, DAY_FORMAT).date()
     except ValueError as error:
--- a/lacewingdock/components/billing/record.py
+++ b/lacewingdock/components/billing/record.py
@@ -84,7 +84,7 @@
     return _DECODER.decode(row)
 
 
-def attempt_of(row: bytes) -> str:
+def decode_attempt_id(row: bytes) -> str:
     """Return the attempt id of a row.
 
     Raises:
@@ -93,7 +93,7 @@
     return _KEY_DECODER.decode(row).attempt
 
 
-def bill_of(run: Run, outcome: Finish | Refusal, world: World) -> Bill:
+def build_bill(run: Run, outcome: Finish | Refusal, world: World) -> Bill:
     """Make the bill of a run that is about to end.
 
     Args:
@@ -102,8 +102,8 @@
         world: Configuration with the prices in force.
     """
     attempt = run.attempt
-    said = _outcome_of(run, outcome)
-    counts = _tokens(run, outcome, said)
+    bill_outcome = _bill_outcome(run, outcome)
+    counts = _token_counts(run, outcome, bill_outcome)
     return Bill(
         attempt.attempt,
         attempt.request,
@@ -113,13 +113,13 @@
         attempt.target,
         int(time.time()),
         *counts,
-        cost_of(world, run, *counts),
-        said,
-        said == OUTCOME_CANCELLED,
+        run_cost(world, run, *counts),
+        bill_outcome,
+        bill_outcome == OUTCOME_CANCELLED,
     )
 
 
-def _outcome_of(run: Run, outcome: Finish | Refusal) -> str:
+def _bill_outcome(run: Run, outcome: Finish | Refusal) -> str:
     match outcome:
         case Finish(status=status):
             return OUTCOME_WHOLE if status < _HTTP_ERROR else OUTCOME_REFUSED
@@ -133,7 +133,9 @@
             return OUTCOME_FAILED
 
 
-def _tokens(run: Run, outcome: Finish | Refusal, said: str) -> tuple[int, int]:
+def _token_counts(
+    run: Run, outcome: Finish | Refusal, bill_outcome: str
+) -> tuple[int, int]:
     """Return input and output tokens.
 
     An engine says its counts with the last event, which a cancelled stream
@@ -142,13 +144,13 @@
     match outcome:
         case Finish():
             return outcome.input_tokens, outcome.output_tokens
-        case _ if said == OUTCOME_CANCELLED and run.chunks:
+        case _ if bill_outcome == OUTCOME_CANCELLED and run.chunks:
             return len(run.attempt.body) // BYTES_PER_TOKEN, len(run.chunks)
         case _:
             return 0, len(run.chunks)
 
 
-def cost_of(
+def run_cost(
     world: World, run: Run, input_tokens: int, output_tokens: int
 ) -> int:
     """Return what a run costs, in millionths of the price unit."""
--- a/lacewingdock/components/billing/report.py
+++ b/lacewingdock/components/billing/report.py
@@ -8,8 +8,8 @@
 from lacewingdock.components.billing.const import MICROS
 from lacewingdock.components.billing.reader import (
     DAY_FORMAT,
-    Line,
     Statement,
+    StatementLine,
     read_statement,
 )
 from lacewingdock.platform.store import ObjectStore
@@ -44,7 +44,7 @@
     return _json(statement) if as_json else _table(statement)
 
 
-def _row(line: Line) -> dict[str, Any]:
+def _row(line: StatementLine) -> dict[str, Any]:
     row = {name: getattr(line, name) for name in COLUMNS}
     for name in ("cost", "uncharged_cost"):
         row[name] /= MICROS
@@ -53,14 +53,14 @@
 
 def _json(statement: Statement) -> str:
     lines = [_row(line) for _, line in sorted(statement.lines.items())]
-    whole = {
+    document = {
         "workspace": statement.workspace,
         "day": statement.day,
         "requests": statement.requests,
         "cost": statement.cost / MICROS,
         "lines": lines,
     }
-    return msgspec.json.encode(whole).decode()
+    return msgspec.json.encode(document).decode()
 
 
 def _table(statement: Statement) -> str:
--- a/lacewingdock/components/billing/sidecar.py
+++ b/lacewingdock/components/billing/sidecar.py
@@ -5,9 +5,13 @@
 
 import prometheus_client
 
-from lacewingdock.components.billing.const import FAREWELL_S, NAME, SWEEP_S
+from lacewingdock.components.billing.const import (
+    NAME,
+    SWEEP_S,
+    UNLOAD_TIMEOUT_S,
+)
 from lacewingdock.components.billing.outbox import Outbox
-from lacewingdock.components.billing.record import bill_of, encode_bill
+from lacewingdock.components.billing.record import build_bill, encode_bill
 from lacewingdock.components.configuration import Configuration
 from lacewingdock.components.peers import Peers
 from lacewingdock.core import Daemon
@@ -16,7 +20,7 @@
 from lacewingdock.links.messages import BillsKept, Finish, Refusal
 from lacewingdock.world.run import Run
 
-FAREWELL_POLL_S: Final = 0.05
+UNLOAD_POLL_S: Final = 0.05
 
 log = get_logger(NAME)
 
@@ -79,7 +83,7 @@
             return
         attempt = run.attempt
         try:
-            bill = bill_of(run, outcome, self.configuration.world)
+            bill = build_bill(run, outcome, self.configuration.world)
             self.outbox.record(attempt.attempt, encode_bill(bill))
         except Exception:
             self.failures.inc()
@@ -93,12 +97,12 @@
 
     def unload(self) -> None:
         """Hand the last bills over and wait a moment until they are kept."""
-        end = time.monotonic() + FAREWELL_S
+        end = time.monotonic() + UNLOAD_TIMEOUT_S
         self.outbox.sweep(urgent=True)
-        while self.outbox.held and self.outbox.holders:
+        while self.outbox.held and self.outbox.log_writers:
             if time.monotonic() > end:
                 break
-            time.sleep(FAREWELL_POLL_S)
+            time.sleep(UNLOAD_POLL_S)
         if self.outbox.held:
             # Entries hold copies of those offered; the rest is only here.
             log.warning("bills not seen kept", bills=len(self.outbox.held))
--- a/tests/components/billing/test_billing_machine.py
+++ b/tests/components/billing/test_billing_machine.py
@@ -30,7 +30,7 @@
 
 ENTRIES = ("e0", "e1", "e2")
 SIDECARS = ("s0", "s1")
-FATES = ("ok", "lost", "dropped", "late")
+WRITE_OUTCOMES = ("ok", "lost", "dropped", "late")
 
 
 def ledger_rows(store):
@@ -55,7 +55,7 @@
         self.numbers = itertools.count()
         self.billed: dict[str, str] = {}
         self.killed: set[str] = set()
-        self.excused: set[str] = set()
+        self.expected_lost: set[str] = set()
         self.frozen: set[str] = set()
         self.backlog: dict[str, list] = {}
         self.entries: dict[str, Ledger] = {}
@@ -73,13 +73,13 @@
             self.store, name, incarnation, lambda: self.now
         )
         for sidecar in SIDECARS:
-            self.open(name, sidecar)
+            self.open_link(name, sidecar)
 
     def start_sidecar(self, name):
         """Start a sidecar afresh."""
         self.sidecars[name] = Outbox(name, "a", lambda: self.now)
 
-    def open(self, entry, sidecar):
+    def open_link(self, entry, sidecar):
         """Open a link; the entry says which log it writes."""
         domain = "a" if entry == "e0" else "b"
         to_entry = FakeLink(Hello(entry, entry, "entry", domain, b""))
@@ -87,7 +87,7 @@
         self.links[entry, sidecar] = to_entry, to_sidecar
         to_sidecar.send(self.entries[entry].announcement())
 
-    def close(self, entry, sidecar):
+    def close_link(self, entry, sidecar):
         """Lose a link with all that is on the way."""
         to_entry, to_sidecar = self.links.pop((entry, sidecar))
         for link in (to_entry, to_sidecar):
@@ -106,9 +106,9 @@
             self.sidecars[sidecar].on_kept(to_entry, message)
         while to_entry.inbox and entry not in self.frozen:
             message = to_entry.inbox.popleft()
-            self.entries[entry].offer(to_sidecar, message)
+            self.entries[entry].receive(to_sidecar, message)
 
-    def places(self, attempt):
+    def count_copies(self, attempt):
         """Count the living copies of a bill."""
         late = FakeStore()
         for collection, name, value, _, _ in self.store.late:
@@ -155,18 +155,18 @@
     def cut_link(self, entry, sidecar, again):
         """Lose a link; it may come back at once."""
         if (entry, sidecar) in self.links:
-            self.close(entry, sidecar)
+            self.close_link(entry, sidecar)
         if again and entry not in self.frozen:
-            self.open(entry, sidecar)
+            self.open_link(entry, sidecar)
             self.deliver(entry, sidecar)
 
     @rule(
         entry=st.sampled_from(ENTRIES),
-        write_outcomes=st.lists(st.sampled_from(FATES), max_size=2),
+        write_outcomes=st.lists(st.sampled_from(WRITE_OUTCOMES), max_size=2),
         rounds=st.integers(1, 3),
-        told=st.booleans(),
+        acknowledged=st.booleans(),
     )
-    def flush(self, entry, write_outcomes, rounds, told):
+    def flush(self, entry, write_outcomes, rounds, acknowledged):
         """Let an entry take what is on the way and write, more than once.
 
         Without being told of it, sidecars offer again what is kept.
@@ -179,7 +179,7 @@
         for _ in range(rounds):
             self.entries[entry].flush()
         self.store.write_outcomes.clear()
-        for sidecar in SIDECARS if told else ():
+        for sidecar in SIDECARS if acknowledged else ():
             self.deliver(entry, sidecar)
 
     @rule(
@@ -217,13 +217,13 @@
         """Let an entry go on, with what waited in its sockets."""
         self.frozen.discard(entry)
         for link, message in self.backlog.pop(entry, ()):
-            self.entries[entry].offer(link, message)
+            self.entries[entry].receive(link, message)
 
     @rule(entry=st.sampled_from(ENTRIES))
     def midnight(self, entry):
         """Let a day pass and an entry begin a new log."""
         self.now += 86_400
-        if entry not in self.frozen and self.entries[entry].roll():
+        if entry not in self.frozen and self.entries[entry].rotate():
             announcement = self.entries[entry].announcement()
             for (name, _), (_, to_sidecar) in self.links.items():
                 if name == entry:
@@ -234,15 +234,17 @@
         """Kill an entry and start it again."""
         for sidecar in SIDECARS:
             if (entry, sidecar) in self.links:
-                self.close(entry, sidecar)
+                self.close_link(entry, sidecar)
         self.frozen.discard(entry)
         self.backlog.pop(entry, None)
         self.start_entry(entry)
         for attempt, sidecar in self.billed.items():
-            if attempt not in self.excused and not self.places(attempt):
+            if attempt not in self.expected_lost and not self.count_copies(
+                attempt
+            ):
                 # The entry had it; its sidecar must be gone as well.
                 assert attempt in self.killed, sidecar
-                self.excused.add(attempt)
+                self.expected_lost.add(attempt)
 
     @rule(sidecar=st.sampled_from(SIDECARS))
     def kill_sidecar(self, sidecar):
@@ -261,16 +263,16 @@
         self.killed |= set(held)
         self.start_sidecar(sidecar)
         for attempt, bill in held.items():
-            if not self.places(attempt):
+            if not self.count_copies(attempt):
                 # It was the one place: no link stood to offer it over.
                 assert bill.link is None
-                self.excused.add(attempt)
+                self.expected_lost.add(attempt)
         for entry in ENTRIES:
             if entry not in self.frozen:
-                self.open(entry, sidecar)
+                self.open_link(entry, sidecar)
 
     @invariant()
-    def none_twice(self):
+    def no_duplicates(self):
         """Find no attempt twice in the ledger."""
         doubled = {a: n for a, n in ledger_rows(self.store).items() if n > 1}
         assert not doubled, doubled
@@ -288,10 +290,10 @@
         for entry in ENTRIES:
             self.thaw(entry)
         for _ in range(6):
-            self.now += const.RESEND_S + 1
+            self.now += const.RESEND_TIMEOUT_S + 1
             for entry, sidecar in itertools.product(ENTRIES, SIDECARS):
                 if (entry, sidecar) not in self.links:
-                    self.open(entry, sidecar)
+                    self.open_link(entry, sidecar)
                 self.deliver(entry, sidecar)
             for sidecar in SIDECARS:
                 self.sidecars[sidecar].sweep()
@@ -302,8 +304,8 @@
         while self.store.late:
             self.store.apply_late_write()
         rows = ledger_rows(self.store)
-        self.none_twice()
-        missing = set(self.billed) - set(rows) - self.excused
+        self.no_duplicates()
+        missing = set(self.billed) - set(rows) - self.expected_lost
         assert not missing, missing
         assert not any(s.held for s in self.sidecars.values())
         assert not any(e.pending for e in self.entries.values())
--- a/tests/components/billing/test_processes.py
+++ b/tests/components/billing/test_processes.py
@@ -63,7 +63,7 @@
     return Counter(row[0] for row in ledger(deployment))
 
 
-def ask_some(deployment, entry, count=6):
+def send_requests(deployment, entry, count=6):
     replies = [
         chat(deployment, f"sofa {n}", tokens=4, entry=entry)
         for n in range(count)
@@ -72,12 +72,12 @@
     return replies
 
 
-def holder(deployment):
+def find_entry_with_bills(deployment):
     """Return the name of the entry that holds bills now."""
     name = "lacewingdock_bills_pending"
     found = []
 
-    def look():
+    def refresh():
         found[:] = [
             p.name
             for p in deployment.daemons()
@@ -85,11 +85,11 @@
         ]
         return bool(found)
 
-    wait_until(look, "no entry holds bills")
+    wait_until(refresh, "no entry holds bills")
     return found[0]
 
 
-def hold_stream(deployment, entry):
+def start_stream(deployment, entry):
     """Stream through an entry; its links then carry work, and silence shows."""
     begun = threading.Event()
     options = {"stream": True, "tokens": 300, "entry": entry}
@@ -108,16 +108,16 @@
 # ledger write that failed is given up.
 def test_requests_of_an_outage_are_billed_once(deployment):
     deployment.faults(down=True)
-    replies = ask_some(deployment, "entry-0")
+    replies = send_requests(deployment, "entry-0")
     time.sleep(2)
     assert not {r.headers[REQUEST_ID] for r in replies} & {
-        row[1] for row in ledger_when_up(deployment)
+        row[1] for row in restore_and_read_ledger(deployment)
     }
     counts = wait_billed(deployment, replies)
     assert set(counts.values()) == {1}
 
 
-def ledger_when_up(deployment):
+def restore_and_read_ledger(deployment):
     deployment.faults()
     return ledger(deployment)
 
@@ -127,7 +127,7 @@
 # the writer takes no answer for no effect.
 def test_lost_ledger_answers(deployment):
     deployment.faults(lose_answers=3, lose_collection="ledger")
-    replies = ask_some(deployment, "entry-1")
+    replies = send_requests(deployment, "entry-1")
     counts = wait_billed(deployment, replies)
     deployment.faults()
     assert set(counts.values()) == {1}
@@ -140,14 +140,14 @@
 @pytest.mark.parametrize("end", ["kill", "freeze"])
 def test_an_entry_goes_with_bills_pending(deployment, end):
     deployment.faults(down=True)
-    replies = ask_some(deployment, "entry-2")
-    name = holder(deployment)
+    replies = send_requests(deployment, "entry-2")
+    name = find_entry_with_bills(deployment)
     process = deployment.processes[name]
     if end == "kill":
         process.kill()
         deployment.faults()
     else:
-        stream = hold_stream(deployment, name)
+        stream = start_stream(deployment, name)
         process.signal(signal.SIGSTOP)
         deployment.faults()
         wanted = {reply.headers[REQUEST_ID] for reply in replies}
@@ -169,7 +169,7 @@
 # the ledger has the bills. Cause: the sidecar's memory was the only place.
 def test_a_sidecar_is_killed_with_bills_held(deployment):
     deployment.faults(down=True)
-    replies = ask_some(deployment, "entry-0")
+    replies = send_requests(deployment, "entry-0")
     deployment.processes["worker-0"].kill()
     deployment.faults()
     counts = wait_billed(deployment, replies)
@@ -209,11 +209,11 @@
     request = reply.headers[REQUEST_ID]
     found = []
 
-    def look():
+    def refresh():
         found[:] = [r for r in ledger(deployment) if r[1] == request]
         return bool(found)
 
-    wait_until(look, "the cancelled stream is not billed")
+    wait_until(refresh, "the cancelled stream is not billed")
     (row,) = found
     assert row[10] == "cancelled"
     assert 0 < row[8] < 4000
--- a/tests/components/billing/test_record.py
+++ b/tests/components/billing/test_record.py
@@ -12,7 +12,7 @@
 )
 from lacewingdock.components.billing.record import (
     Bill,
-    bill_of,
+    build_bill,
     decode_bill,
     encode_bill,
 )
@@ -45,14 +45,14 @@
     run = Run(attempt)
     run.chunks = [b"piece"] * pieces
     run.caller_left = caller_left
-    told = []
-    run.before_end = lambda _, end: told.append(end)
+    ends = []
+    run.before_end = lambda _, end: ends.append(end)
     if isinstance(outcome, Finish):
         run.end(outcome)
     else:
         run.refuse(outcome)
     run.refuse(FAILED)
-    (end,) = told
+    (end,) = ends
     return run, end
 
 
@@ -76,7 +76,7 @@
 )
 def test_bill_of_a_run(options, outcome, said, tokens, cost):
     run, end = ended_run(outcome, **options)
-    bill = bill_of(run, end, world())
+    bill = build_bill(run, end, world())
     assert (bill.outcome, bill.cost) == (said, cost)
     assert (bill.input_tokens, bill.output_tokens) == tokens
     assert decode_bill(encode_bill(bill)) == bill
@@ -154,8 +154,8 @@
         box = Outbox(f"s{number}", "hall-a")
         links = {}
         for name, domain in (("e0", "hall-a"), ("e1", "hall-b")):
-            links[name], word = holder(name, domain, f"log-{name}")
-            box.on_kept(links[name], word)
+            links[name], announcement = holder(name, domain, f"log-{name}")
+            box.on_kept(links[name], announcement)
         box.record("a", b'["a"]')
         assert not links["e0"].inbox
         assert list(links["e1"].inbox) == [
@@ -186,10 +186,10 @@
 # a bill stays in one place for as long as the wait.
 def test_bills_go_to_another_entry_as_soon_as_a_link_is_lost():
     box = Outbox("s", "hall-a")
-    first, word = holder("e1", "hall-b", "log-e1")
-    box.on_kept(first, word)
+    first, announcement = holder("e1", "hall-b", "log-e1")
+    box.on_kept(first, announcement)
     box.record("a", b'["a"]')
-    second, word = holder("e2", "hall-b", "log-e2")
-    box.on_kept(second, word)
+    second, announcement = holder("e2", "hall-b", "log-e2")
+    box.on_kept(second, announcement)
     box.on_close(first)
     assert list(second.inbox) == [Bills("log-e1", 3, False, [b'["a"]'])]
