--- a/lacewingdock/components/billing/const.py
+++ b/lacewingdock/components/billing/const.py
@@ -4,34 +4,39 @@
 
 NAME: Final = "billing"
 
-# Ledger writes a second that all entries together aim for; the platform
-# takes several hundred of all kinds.
+# Target rate of ledger writes per second, summed over all entries. The
+# platform accepts several hundred writes per second of all kinds.
 LEDGER_WRITES_PER_S: Final = 40.0
+# Bounds in seconds of the interval between the ledger writes of one entry.
 MIN_WRITE_INTERVAL_S: Final = 1.0
 MAX_WRITE_INTERVAL_S: Final = 30.0
-# After a failed write; a platform that comes back is not met by all at once.
+# Delay in seconds after a failed ledger write. It keeps the entries from
+# writing all at once when the platform recovers.
 RETRY_S: Final = 1.0
 
+# Interval in seconds at which a sidecar checks for bills to send again.
 SWEEP_S: Final = 1.0
-# An offer that got no answer for this long is made again, to whoever is best
-# then. Longer than any write interval.
+# Seconds without an acknowledgement after which a bill is sent again, to the
+# entry that is preferred by then. Longer than any write interval.
 RESEND_TIMEOUT_S: Final = 90.0
-# Bills of one message.
+# Maximum number of bills in one message.
 MAX_BILLS_PER_MESSAGE: Final = 500
 
-# Bills that a sidecar holds before it takes no new work: 83 minutes at 4
-# requests/s, about 8 MB.
+# Number of bills held by a sidecar at which it refuses new work: 83 minutes
+# at 4 requests/s, about 8 MB.
 MAX_HELD: Final = 20_000
-# Bills that an entry holds before it takes no more offers: 15 minutes at 22
-# requests/s, about 8 MB.
+# Maximum number of bills pending at an entry, which declines further bills: 15
+# minutes at 22 requests/s, about 8 MB.
 MAX_PENDING: Final = 20_000
-# How long a stopping daemon waits for its last bills.
+# Seconds for which a stopping daemon waits until its last bills are written.
 UNLOAD_TIMEOUT_S: Final = 3.0
 
-# What a cancelled run has read is not said by the engine; English text and
-# JSON have about this many bytes a token.
+# Bytes per token, to estimate the input tokens of a cancelled run, for which
+# the engine reports no count. English text and JSON have about this many.
 BYTES_PER_TOKEN: Final = 4
+# Millionths per price unit; costs are integers in millionths.
 MICROS: Final = 1_000_000
+# Number of tokens to which the configured price of a version applies.
 TOKENS_PER_PRICE: Final = 1000
 
 OUTCOME_WHOLE: Final = "whole"
@@ -39,6 +44,6 @@
 OUTCOME_FAILED: Final = "failed"
 OUTCOME_REFUSED: Final = "refused"
 OUTCOME_UNKNOWN: Final = "unknown"
-# What is charged, the better one first; other outcomes cost the operator and
-# not the workspace.
+# Outcomes that are charged to the workspace, in order of preference. The
+# operator bears the cost of all other outcomes.
 CHARGED: Final = (OUTCOME_WHOLE, OUTCOME_CANCELLED)
--- a/lacewingdock/components/billing/entry.py
+++ b/lacewingdock/components/billing/entry.py
@@ -1,4 +1,4 @@
-"""Support for billing at the entry, which writes the ledger."""
+"""Support for billing at the entry, which writes bills to the ledger."""
 
 import threading
 from collections.abc import Callable
@@ -24,14 +24,14 @@
 
 
 class EntryBilling:
-    """Takes bills from sidecars and writes them in batches.
+    """Receives bills from sidecars and writes them to the ledger in batches.
 
     Attributes:
         daemon: The daemon.
-        peers: The links.
+        peers: The links to the sidecars.
         entries: Returns the number of live entries.
-        ledger: The bills and logs.
-        wake: Set when a write shall not wait for its time.
+        ledger: The pending bills and the logs.
+        wake: Set to write without waiting for the end of the interval.
     """
 
     __slots__ = ("daemon", "entries", "ledger", "peers", "wake")
@@ -39,7 +39,7 @@
     def __init__(
         self, daemon: Daemon, peers: Peers, entries: Callable[[], int]
     ) -> None:
-        """Join the links."""
+        """Register the message and link handlers and the metrics."""
         me = daemon.me
         self.daemon = daemon
         self.peers = peers
@@ -66,7 +66,7 @@
             ).set_function(read)
 
     def start(self) -> None:
-        """Start writing."""
+        """Start the task that writes the ledger."""
         self.daemon.spawn(self._write_all)
 
     def _announce(self, link: Link) -> None:
@@ -74,10 +74,10 @@
             link.send(self.ledger.announcement())
 
     def _on_close(self, link: Link) -> None:
-        """Write at once what a lost sidecar left here.
+        """Write the pending bills of a disconnected sidecar at once.
 
-        If it died this entry is the one place that has its bills. Waiting
-        for the next write would lose them if this entry died too.
+        If the sidecar died, this entry holds the only copy of its bills. They
+        would be lost if this entry died before the next regular write.
         """
         if self.ledger.has_bills_from(link):
             self.wake.set()
@@ -106,14 +106,20 @@
             return False
 
     def unload(self) -> None:
-        """Write what is here; what can't be, the sidecars offer again."""
+        """Write the pending bills; sidecars resend those that fail."""
         self.wake.set()
         if not self.ledger.flush():
-            log.warning("bills left to others", bills=self.ledger.count())
+            log.warning(
+                "pending bills not written before shutdown",
+                bills=self.ledger.count(),
+            )
 
 
 def write_interval_s(entries: int) -> float:
-    """Seconds between an entry's writes, so that all share the rate."""
+    """Return the seconds between an entry's ledger writes.
+
+    All entries together then stay near `LEDGER_WRITES_PER_S`.
+    """
     fair = entries / LEDGER_WRITES_PER_S
     return min(max(fair, MIN_WRITE_INTERVAL_S), MAX_WRITE_INTERVAL_S)
 
@@ -121,7 +127,7 @@
 def setup(
     daemon: Daemon, peers: Peers, entries: Callable[[], int]
 ) -> EntryBilling:
-    """Set billing up at an entry."""
+    """Create an entry's billing and add it to the daemon."""
     billing = EntryBilling(daemon, peers, entries)
     daemon.add(NAME, billing)
     return billing
--- a/lacewingdock/components/billing/ledger.py
+++ b/lacewingdock/components/billing/ledger.py
@@ -1,4 +1,4 @@
-"""Support for the entry's side: bills pending until the ledger has them."""
+"""Support for bills that are pending at an entry until they are written."""
 
 import threading
 import time
@@ -21,12 +21,13 @@
 
 @dataclass(slots=True)
 class PendingBills:
-    """Bills that wait to be written to one log.
+    """Bills that are waiting to be written to one log.
 
     Attributes:
-        after: None of them is in a slot before this one.
+        after: Slot of the log; no slot before it contains any of the bills.
         rows: The rows by attempt id.
-        links: Who offered each, to be told when it is kept.
+        links: The link over which each bill came last, by attempt id. The
+            acknowledgement is sent over this link.
     """
 
     after: int
@@ -35,24 +36,27 @@
 
 
 def log_name(instance: str, incarnation: str, now: float) -> str:
-    """Return the name of the log that a process writes on a day (UTC)."""
+    """Return the name of a process's log for the UTC day of `now`."""
     day = time.strftime("%Y%m%d", time.gmtime(now))
     return f"{day}.{instance}.{incarnation}"
 
 
 class Ledger:
-    """The logs that this entry writes, its own and what others left.
+    """The logs that this entry writes: its own and those of other entries.
+
+    Logs of other entries are written for bills that their entry may have
+    left unwritten.
 
     Attributes:
-        store: The platform.
+        store: The platform's object store.
         instance: Name of this instance.
-        incarnation: Which start of it.
-        clock: Returns wall-clock seconds; only names the day's log.
-        own: Name of the log that new bills are bound to.
-        logs: Logs that are being written.
-        pending: What waits, by log.
-        written: Rows seen in the ledger, counted.
-        declined: Offers not taken for want of room, counted.
+        incarnation: Identifies this start of the instance.
+        clock: Returns wall-clock seconds; used only to name the day's log.
+        own: Name of the log that is announced for new bills.
+        logs: The logs that are being written, by name.
+        pending: The bills that are waiting to be written, by log name.
+        written: Number of rows that were confirmed in the ledger.
+        declined: Number of bills declined because `MAX_PENDING` was reached.
     """
 
     __slots__ = (
@@ -76,7 +80,7 @@
         incarnation: str,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        """Start with an empty log of its own."""
+        """Initialize with an empty log for the current day."""
         self.store = store
         self.instance = instance
         self.incarnation = incarnation
@@ -90,22 +94,23 @@
         self._writing = threading.Lock()
 
     def announcement(self) -> BillsKept:
-        """Say which log new bills go to, and from which slot on."""
+        """Return the message that names the log and first slot of new bills."""
         own = self.logs.get(self.own)
         return BillsKept(self.own, own.slot if own else 0, [])
 
     def count(self) -> int:
-        """Count the bills that wait."""
+        """Return the number of pending bills."""
         return sum(len(p.rows) for p in tuple(self.pending.values()))
 
     def receive(self, link: Link, message: Bills) -> None:
-        """Take bills in; what is here already is only noted again.
+        """Add a sidecar's bills to the pending ones.
 
-        Without room the offer is left: the sidecar still has the bill, so
-        nothing is lost, but it is in one place.
+        A bill that is pending already is only updated. Above `MAX_PENDING`
+        the whole message is declined: its bills aren't lost, as the sidecar
+        still holds them, but there is only that one copy.
 
         Raises:
-            LacewingdockError: BAD_LINK when a row is no bill.
+            LacewingdockError: BAD_LINK when a row is not a bill.
         """
         rows = _by_attempt(message.rows)
         with self._lock:
@@ -121,7 +126,7 @@
                 pending.links[attempt] = link
 
     def has_bills_from(self, link: Link) -> bool:
-        """Tell whether bills wait that came over a link."""
+        """Return whether any pending bill came over a link."""
         with self._lock:
             return any(
                 link is pending_link
@@ -130,7 +135,7 @@
             )
 
     def rotate(self) -> bool:
-        """Begin the day's log; tells whether it is a new one."""
+        """Switch to the current day's log; return whether it is a new one."""
         name = log_name(self.instance, self.incarnation, self.clock())
         if name == self.own:
             return False
@@ -142,7 +147,7 @@
         return True
 
     def flush(self) -> bool:
-        """Write what waits; returns whether all of it is in the ledger."""
+        """Write the pending bills; return whether all are in the ledger."""
         with self._writing:
             done = True
             for name in tuple(self.pending):
@@ -161,14 +166,16 @@
             target.append(rows, after)
             done = True
         except LacewingdockError as error:
-            log.warning("ledger not written", log=name, error=error.detail)
+            log.warning(
+                "cannot write log to ledger", log=name, error=error.detail
+            )
             done = False
         self._acknowledge(name, [a for a in rows if a in target.seen])
         target.forget()
         return done
 
     def _acknowledge(self, name: str, attempts: list[str]) -> None:
-        """Let go of bills that were seen in the ledger, and say so."""
+        """Drop bills that are in the ledger and acknowledge them."""
         acknowledged: dict[Link, list[str]] = {}
         with self._lock:
             pending = self.pending[name]
@@ -197,5 +204,5 @@
         return {decode_attempt_id(row): row for row in rows}
     except msgspec.DecodeError as error:
         raise LacewingdockError(
-            ErrorKind.BAD_LINK, f"a row is no bill: {error}"
+            ErrorKind.BAD_LINK, f"invalid row in a message of bills: {error}"
         ) from error
--- a/lacewingdock/components/billing/outbox.py
+++ b/lacewingdock/components/billing/outbox.py
@@ -1,4 +1,4 @@
-"""Support for the sidecar's side: bills held until the ledger has them."""
+"""Support for bills that a sidecar holds until they are in the ledger."""
 
 import hashlib
 import threading
@@ -17,15 +17,16 @@
 
 @dataclass(slots=True)
 class HeldBill:
-    """A bill that isn't known to be in the ledger.
+    """A bill that is not confirmed to be in the ledger.
 
     Attributes:
-        row: The bill's row.
-        log: The one log it may ever be written to; empty until it was first
-            offered.
-        after: It is in no slot of the log before this one.
-        link: The link it was offered over last.
-        offered: Monotonic time of that offer.
+        row: The bill's encoded row.
+        log: Name of the only log that the bill may be written to; empty until
+            the bill is assigned to an entry for the first time.
+        after: Slot of the log; no slot before it contains the bill.
+        link: The link that the bill was last assigned to; None when no entry
+            is assigned.
+        offered: Monotonic time in seconds of that assignment.
     """
 
     row: bytes
@@ -37,12 +38,12 @@
 
 @dataclass(slots=True)
 class LogWriter:
-    """An entry that takes bills.
+    """An entry that has announced its log.
 
     Attributes:
-        link: The link to it.
-        log: The log that it writes.
-        slot: The log's first free slot when the entry last said so.
+        link: The link to the entry.
+        log: Name of the log that the entry writes.
+        slot: The log's first free slot in the entry's latest announcement.
     """
 
     link: Link
@@ -52,7 +53,13 @@
 
 @dataclass(slots=True)
 class _Batch:
-    """Bills that go over one link together, by their log."""
+    """Bills of one log that are sent in one message.
+
+    Attributes:
+        after: Slot of the log; no slot before it contains any of the bills.
+        attempts: Ids of the bills' attempts.
+        rows: The bills' rows, in the same order.
+    """
 
     after: int
     attempts: list[str] = field(default_factory=list)
@@ -60,19 +67,20 @@
 
 
 class Outbox:
-    """Bills of this sidecar's runs, and the entries that hold them too.
+    """Bills of this sidecar's runs, and the entries that hold copies.
 
-    A bill is bound to a log with its first offer and is never written to
-    another. So whichever entries it is offered to later, they meet at the
-    same slots, and only one of them puts it in (`AppendLog`).
+    A bill is bound to a log when it is first assigned to an entry, and is
+    never written to another log. All entries that receive the bill later
+    therefore compete for the same slots, and only one of them adds it
+    (`AppendLog`).
 
     Attributes:
         instance: Name of this instance.
-        failure_domain: Where it stands.
+        failure_domain: Failure domain of this instance.
         clock: Returns monotonic seconds.
         held: The bills by attempt id.
-        holders: Entries that said which log they write, by link.
-        kept: Bills that the ledger was seen to have, counted.
+        log_writers: The entries that announced their log, by link.
+        kept: Number of held bills that were confirmed in the ledger.
     """
 
     __slots__ = (
@@ -91,7 +99,7 @@
         failure_domain: str,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Start with nothing held."""
+        """Initialize without bills or entries."""
         self.instance = instance
         self.failure_domain = failure_domain
         self.clock = clock
@@ -101,15 +109,15 @@
         self._lock = threading.Lock()
 
     def has_room(self) -> bool:
-        """Tell whether another run may start; its bill must find a place."""
+        """Return whether the bill of another run fits below `MAX_HELD`."""
         return len(self.held) < MAX_HELD
 
     def record(self, attempt: str, row: bytes) -> None:
-        """Take a bill in and offer it at once.
+        """Add a bill and send it to an entry at once.
 
-        Called before the answer's end is sent: once a caller has its whole
-        answer, its bill is on the way to a second place, and this process
-        may die.
+        Called before the end of the answer is sent: once the caller has its
+        complete answer, a copy of the bill is on its way to an entry, so that
+        the bill outlives this process.
         """
         with self._lock:
             self.held[attempt] = HeldBill(row)
@@ -117,18 +125,18 @@
         self._send(batches, urgent=False)
 
     def on_kept(self, link: Link, message: BillsKept) -> None:
-        """Take an entry's word on its log and on what the ledger has."""
+        """Record an entry's log and drop the bills it has acknowledged."""
         with self._lock:
             self.log_writers[link] = LogWriter(link, message.log, message.slot)
             for attempt in message.attempts:
                 self.kept += self.held.pop(attempt, None) is not None
 
     def on_close(self, link: Link) -> None:
-        """Offer what a lost link's entry holds to another, at once.
+        """Send the bills of a disconnected entry to another one at once.
 
-        Until then this process is the only place that is known of. Should
-        the entry live, the two meet at the log's next slot, which costs a
-        read.
+        Until then this process may hold the only copy. If the disconnected
+        entry is alive, both entries compete for the log's next slot, which
+        costs one read.
         """
         with self._lock:
             self.log_writers.pop(link, None)
@@ -139,11 +147,11 @@
         self._send(batches, urgent=False)
 
     def sweep(self, urgent: bool = False) -> None:
-        """Offer what nobody holds, or nobody answered for.
+        """Send bills that have no entry or are overdue for acknowledgement.
 
         Args:
-            urgent: Whether this sidecar is about to end: what waits is
-                offered again and the entries write it now.
+            urgent: Whether this sidecar is about to stop: all held bills are
+                sent again, and the entries write them at once.
         """
         now = self.clock()
         with self._lock:
@@ -159,7 +167,10 @@
     def _assign_batches(
         self, attempts: Iterable[str]
     ) -> dict[tuple[Link, str], list[_Batch]]:
-        """Choose a holder for each bill and note the offer."""
+        """Assign each bill to an entry and group the bills into messages.
+
+        Bills stay unassigned while no entry has announced its log.
+        """
         now = self.clock()
         batches: dict[tuple[Link, str], list[_Batch]] = {}
         for attempt in attempts:
@@ -180,12 +191,13 @@
         return batches
 
     def _choose_writer(self, held: HeldBill) -> LogWriter | None:
-        """Choose who holds a bill.
+        """Choose the entry that a bill is sent to.
 
-        The writer of its log, if it is linked; a first offer goes to an
-        entry of another failure domain, so that the loss of one doesn't take
-        both places. Among those the choice is steady, so that few sidecars
-        depend on one log.
+        The writer of the bill's log is chosen if it is linked. Otherwise, as
+        for a new bill, an entry of another failure domain is preferred, so
+        that the loss of one domain doesn't destroy both copies. Among those,
+        rendezvous hashing keeps a sidecar's choice stable, so that few
+        sidecars depend on one log.
         """
         log_writers = list(self.log_writers.values())
         for writer in log_writers:
@@ -209,7 +221,10 @@
                     self._unassign(link, batch.attempts)
 
     def _unassign(self, link: Link, attempts: list[str]) -> None:
-        """Let the next sweep try again; a stuck entry must not hold answers."""
+        """Leave unsent bills to the next sweep.
+
+        Retrying here would delay the answers behind an unresponsive entry.
+        """
         with self._lock:
             for attempt in attempts:
                 held = self.held.get(attempt)
--- a/lacewingdock/components/billing/record.py
+++ b/lacewingdock/components/billing/record.py
@@ -1,4 +1,4 @@
-"""Support for the record of one attempt that ran."""
+"""Support for the bill of one attempt that ran."""
 
 import time
 from typing import Final
@@ -24,25 +24,27 @@
 
 
 class Bill(msgspec.Struct, array_like=True):
-    """One attempt that ran; a request's bill is made of those it took.
+    """Bill of one attempt that ran; a request has one per such attempt.
 
-    Encoded as a JSON array: field names would be most of a row's bytes.
+    Encoded as a JSON array, as field names would take up most of a row.
 
     Attributes:
-        attempt: Id of the attempt; the ledger holds each once.
+        attempt: Id of the attempt; the ledger contains each once.
         request: Id of the caller's request.
         step: Index of the cascade's step, 0 without a cascade.
-        ordinal: How many attempts of this step went before this one.
+        ordinal: Number of earlier attempts of this step.
         workspace: Name of the workspace.
         target: Name of the version or service.
-        at: Wall-clock second of the end.
+        at: Wall-clock time of the attempt's end, in whole seconds.
         input_tokens: Tokens read.
         output_tokens: Tokens generated.
-        cost: Millionths of the price unit, at the prices in force then.
-        outcome: "whole", "cancelled" (by the caller), "failed", "refused"
-            (by the upstream, as an answer) or "unknown".
-        estimated: Whether tokens were estimated for want of the engine's own
-            count.
+        cost: Cost in millionths of the price unit, at the prices in force at
+            the attempt's end.
+        outcome: "whole" (a complete answer), "cancelled" (by the caller),
+            "failed", "refused" (by an error response of the upstream) or
+            "unknown".
+        estimated: Whether the tokens were estimated, because the engine
+            reported no count.
     """
 
     attempt: str
@@ -60,7 +62,11 @@
 
 
 class _Key(msgspec.Struct, array_like=True):
-    """The start of a row, which is all that a holder needs."""
+    """First element of a row; decoding it alone identifies the bill.
+
+    Attributes:
+        attempt: Id of the attempt.
+    """
 
     attempt: str
 
@@ -71,34 +77,34 @@
 
 
 def encode_bill(bill: Bill) -> bytes:
-    """Return the row of a bill."""
+    """Encode a bill as a row."""
     return _ENCODER.encode(bill)
 
 
 def decode_bill(row: bytes) -> Bill:
-    """Return the bill of a row.
+    """Decode a row into a bill.
 
     Raises:
-        msgspec.DecodeError: The row is no bill.
+        msgspec.DecodeError: The row is not a bill.
     """
     return _DECODER.decode(row)
 
 
 def decode_attempt_id(row: bytes) -> str:
-    """Return the attempt id of a row.
+    """Decode only the attempt id of a row.
 
     Raises:
-        msgspec.DecodeError: The row is no bill.
+        msgspec.DecodeError: The row is not a bill.
     """
     return _KEY_DECODER.decode(row).attempt
 
 
 def build_bill(run: Run, outcome: Finish | Refusal, world: World) -> Bill:
-    """Make the bill of a run that is about to end.
+    """Build the bill of a run that is about to end.
 
     Args:
-        run: The run; the upstream has seen its request.
-        outcome: How it ends.
+        run: The run, whose request has reached the upstream.
+        outcome: The message that ends the run.
         world: Configuration with the prices in force.
     """
     attempt = run.attempt
@@ -136,10 +142,11 @@
 def _token_counts(
     run: Run, outcome: Finish | Refusal, bill_outcome: str
 ) -> tuple[int, int]:
-    """Return input and output tokens.
+    """Return the numbers of input and output tokens.
 
-    An engine says its counts with the last event, which a cancelled stream
-    never has: each event is taken for a token then.
+    An engine reports its counts with the last event, which a cancelled stream
+    never reaches. Each event of such a stream counts as one output token, and
+    the input tokens are estimated from the size of the request body.
     """
     match outcome:
         case Finish():
@@ -153,7 +160,7 @@
 def run_cost(
     world: World, run: Run, input_tokens: int, output_tokens: int
 ) -> int:
-    """Return what a run costs, in millionths of the price unit."""
+    """Return the cost of a run, in millionths of the price unit."""
     attempt = run.attempt
     if attempt.target in world.services:
         path = attempt.path.partition("?")[0]
@@ -164,7 +171,10 @@
 def token_cost(
     world: World, version: str, input_tokens: int, output_tokens: int
 ) -> int:
-    """Return the cost of tokens on a version, in millionths."""
+    """Return the cost of tokens on a version, in millionths.
+
+    An unknown version costs 0.
+    """
     found = world.versions.get(version)
     if found is None:
         return 0
@@ -174,7 +184,10 @@
 
 
 def call_cost(world: World, service: str, method: str, path: str) -> int:
-    """Return the cost of one call of a service, in millionths."""
+    """Return the cost of one call of a service, in millionths.
+
+    A service or operation that is not configured costs 0.
+    """
     found = world.services.get(service)
     for operation in found.operations if found else ():
         if (operation.method, operation.path) == (method, path):
--- a/lacewingdock/components/billing/report.py
+++ b/lacewingdock/components/billing/report.py
@@ -1,4 +1,4 @@
-"""Support for printing the bills of a day."""
+"""Support for formatting the statement of a workspace and day."""
 
 import time
 from typing import Any
@@ -28,16 +28,16 @@
 def show_statement(
     store: ObjectStore, workspace: str, day: str, as_json: bool
 ) -> str:
-    """Return a workspace's bills of a day as a table or as JSON.
+    """Return a workspace's statement of a day as a table or as JSON.
 
     Args:
-        store: The platform.
+        store: The platform's object store.
         workspace: Name of the workspace.
         day: "YYYYMMDD", or empty for today (UTC).
         as_json: Whether to return JSON.
 
     Raises:
-        LacewingdockError: As `read_statement`.
+        LacewingdockError: The same errors as `read_statement`.
     """
     day = day or time.strftime(DAY_FORMAT, time.gmtime())
     statement = read_statement(store, workspace, day)
--- a/lacewingdock/components/billing/sidecar.py
+++ b/lacewingdock/components/billing/sidecar.py
@@ -1,4 +1,4 @@
-"""Support for billing at the sidecar, which knows what ran."""
+"""Support for billing at the sidecar, which runs the attempts."""
 
 import time
 from typing import Final
@@ -20,19 +20,20 @@
 from lacewingdock.links.messages import BillsKept, Finish, Refusal
 from lacewingdock.world.run import Run
 
+# Interval in seconds at which a stopping sidecar checks for held bills.
 UNLOAD_POLL_S: Final = 0.05
 
 log = get_logger(NAME)
 
 
 class SidecarBilling:
-    """Makes the bills of this sidecar's runs and keeps them until written.
+    """Builds the bills of this sidecar's runs and holds them until written.
 
     Attributes:
         daemon: The daemon.
-        configuration: Gives the prices.
-        outbox: The bills.
-        failures: Counts runs whose bill could not be made.
+        configuration: Configuration with the prices.
+        outbox: The bills that are not confirmed to be in the ledger.
+        failures: Counter of runs whose bill could not be built or recorded.
     """
 
     __slots__ = ("configuration", "daemon", "failures", "outbox")
@@ -40,7 +41,7 @@
     def __init__(
         self, daemon: Daemon, peers: Peers, configuration: Configuration
     ) -> None:
-        """Join the links."""
+        """Register the message and link handlers and the metrics."""
         self.daemon = daemon
         self.configuration = configuration
         self.outbox = Outbox(daemon.me.instance, daemon.me.failure_domain)
@@ -58,26 +59,28 @@
         )
 
     def start(self) -> None:
-        """Start offering again what nobody answered for."""
+        """Start the periodic resending of unacknowledged bills."""
         self.daemon.every(SWEEP_S, self.outbox.sweep)
 
     def check_room(self) -> None:
-        """Refuse new work when its bill would find no place.
+        """Refuse new work while the outbox is full.
 
         Raises:
-            LacewingdockError: OVERLOADED, not run. The ledger has been out
-                of reach for so long that going on would lose bills.
+            LacewingdockError: OVERLOADED, and the request did not run. The
+                ledger has been unreachable for so long that accepting more
+                work would lose bills.
         """
         if not self.outbox.has_room():
             raise LacewingdockError(
-                ErrorKind.OVERLOADED, "too many bills wait for the ledger"
+                ErrorKind.OVERLOADED,
+                "too many bills are waiting to be written to the ledger",
             )
 
     def on_end(self, run: Run, outcome: Finish | Refusal) -> None:
-        """Bill a run that is about to end, if it ran at all.
+        """Bill a run that is about to end, if it was executed.
 
-        A fault in here must not cost the caller the answer: it is counted
-        and logged with all that a bill would have held.
+        An exception here must not cost the caller its answer: it is counted
+        and logged with the identifiers that a bill would have contained.
         """
         if not run.executed:
             return
@@ -88,7 +91,7 @@
         except Exception:
             self.failures.inc()
             log.exception(
-                "no bill",
+                "cannot bill run",
                 attempt_id=attempt.attempt,
                 request_id=attempt.request,
                 workspace=attempt.workspace,
@@ -96,7 +99,10 @@
             )
 
     def unload(self) -> None:
-        """Hand the last bills over and wait a moment until they are kept."""
+        """Send the held bills and wait until the ledger has them.
+
+        Returns after `UNLOAD_TIMEOUT_S`, or when no entry is linked.
+        """
         end = time.monotonic() + UNLOAD_TIMEOUT_S
         self.outbox.sweep(urgent=True)
         while self.outbox.held and self.outbox.log_writers:
@@ -104,14 +110,18 @@
                 break
             time.sleep(UNLOAD_POLL_S)
         if self.outbox.held:
-            # Entries hold copies of those offered; the rest is only here.
-            log.warning("bills not seen kept", bills=len(self.outbox.held))
+            # Entries hold copies of the bills that were sent. Bills that
+            # were never sent exist only here and are lost.
+            log.warning(
+                "stopped with bills not confirmed in the ledger",
+                bills=len(self.outbox.held),
+            )
 
 
 def setup(
     daemon: Daemon, peers: Peers, configuration: Configuration
 ) -> SidecarBilling:
-    """Set billing up at a sidecar."""
+    """Create a sidecar's billing and add it to the daemon."""
     billing = SidecarBilling(daemon, peers, configuration)
     daemon.add(NAME, billing)
     return billing
