--- a/lacewingdock/components/billing/const.py
+++ b/lacewingdock/components/billing/const.py
@@ -25,7 +25,7 @@
 # Number of bills held by a sidecar at which it refuses new work: 83 minutes
 # at 4 requests/s, about 8 MB.
 MAX_HELD: Final = 20_000
-# Maximum number of bills pending at an entry, which declines further bills: 15
+# Number of bills pending at an entry above which it declines further bills: 15
 # minutes at 22 requests/s, about 8 MB.
 MAX_PENDING: Final = 20_000
 # Seconds for which a stopping daemon waits until its last bills are written.
--- a/tests/components/billing/test_billing_machine.py
+++ b/tests/components/billing/test_billing_machine.py
@@ -1,11 +1,12 @@
-"""Property test: whatever fails, each attempt that ran is billed once.
+"""Property test: each attempt that ran is billed once, whatever fails.
 
-Symptoms looked for: a bill missing from the ledger; a bill in it twice.
-Events: any order of runs that end, messages delivered or lost with their
-link, entries frozen, thawed, killed and restarted, sidecars killed, platform
-outages, writes whose answer is lost, that don't take effect or that take
-effect late. Causes: a holder dies with the only copy; two holders both write;
-a writer doesn't know what its write did.
+Guards against bills that are missing from the ledger or in it twice. The
+machine ends runs, delivers messages or loses them with their link, freezes,
+thaws, kills and restarts entries, kills sidecars, takes the platform down, and
+makes writes lose their answer, take no effect or take effect late. A bill is
+lost when a process dies with the only copy, and is duplicated when two
+processes both write it or when a writer doesn't know whether its write took
+effect.
 
 The ledger is read from the fake platform's objects, without the reader.
 """
@@ -34,7 +35,7 @@
 
 
 def ledger_rows(store):
-    """Count each attempt in the platform's objects."""
+    """Return how often each attempt is in the platform's objects."""
     rows = Counter()
     for stored in store.objects.get("ledger", {}).values():
         text = zlib.decompress(base64.b64decode(stored.value))
@@ -43,11 +44,15 @@
 
 
 class BillingMachine(RuleBasedStateMachine):
-    """Entries and sidecars with a link between each pair."""
+    """Entries and sidecars with a link between each pair.
+
+    A bill is expected to be lost when the only processes that held a copy
+    were killed.
+    """
 
     def __init__(self):
         super().__init__()
-        # Forgetting early lets short runs meet it.
+        # A small bound makes logs evict keys within a short run.
         self.patch = mock.patch.object(append_log, "REMEMBERED_SLOTS", 1)
         self.patch.start()
         self.store = FakeStore()
@@ -67,7 +72,7 @@
             self.start_entry(name)
 
     def start_entry(self, name):
-        """Start an entry afresh, with an empty memory and a new log."""
+        """Start an entry with empty memory and a new log."""
         incarnation = f"{name}-{next(self.numbers)}"
         self.entries[name] = Ledger(
             self.store, name, incarnation, lambda: self.now
@@ -76,11 +81,11 @@
             self.open_link(name, sidecar)
 
     def start_sidecar(self, name):
-        """Start a sidecar afresh."""
+        """Start a sidecar with empty memory."""
         self.sidecars[name] = Outbox(name, "a", lambda: self.now)
 
     def open_link(self, entry, sidecar):
-        """Open a link; the entry says which log it writes."""
+        """Open a link, over which the entry announces its log."""
         domain = "a" if entry == "e0" else "b"
         to_entry = FakeLink(Hello(entry, entry, "entry", domain, b""))
         to_sidecar = FakeLink(Hello(sidecar, sidecar, "sidecar", "a", b""))
@@ -88,7 +93,7 @@
         to_sidecar.send(self.entries[entry].announcement())
 
     def close_link(self, entry, sidecar):
-        """Lose a link with all that is on the way."""
+        """Close a link and drop its messages in flight."""
         to_entry, to_sidecar = self.links.pop((entry, sidecar))
         for link in (to_entry, to_sidecar):
             link.closed = True
@@ -96,7 +101,11 @@
         self.sidecars[sidecar].on_close(to_entry)
 
     def deliver(self, entry, sidecar, kept=True):
-        """Deliver what is on the way between two that run."""
+        """Deliver the messages in flight between an entry and a sidecar.
+
+        A frozen entry receives none. Without `kept`, acknowledgements stay in
+        flight.
+        """
         if (entry, sidecar) not in self.links:
             return
         to_entry, to_sidecar = self.links[entry, sidecar]
@@ -109,7 +118,7 @@
             self.entries[entry].receive(to_sidecar, message)
 
     def count_copies(self, attempt):
-        """Count the living copies of a bill."""
+        """Count the copies of a bill in memory, in the ledger and in flight."""
         late = FakeStore()
         for collection, name, value, _, _ in self.store.late:
             objects = late.objects.setdefault(collection, {})
@@ -137,7 +146,7 @@
         delivered=st.booleans(),
     )
     def end_runs(self, sidecar, count, delivered):
-        """End runs; their bills may reach the entry at once."""
+        """End runs, whose bills may reach an entry at once."""
         for _ in range(count):
             attempt = f"a{next(self.numbers)}"
             row = json.dumps([attempt, "request"]).encode()
@@ -153,7 +162,7 @@
         again=st.booleans(),
     )
     def cut_link(self, entry, sidecar, again):
-        """Lose a link; it may come back at once."""
+        """Close a link, which may be opened again at once."""
         if (entry, sidecar) in self.links:
             self.close_link(entry, sidecar)
         if again and entry not in self.frozen:
@@ -167,9 +176,10 @@
         acknowledged=st.booleans(),
     )
     def flush(self, entry, write_outcomes, rounds, acknowledged):
-        """Let an entry take what is on the way and write, more than once.
+        """Let an entry receive messages in flight and write several times.
 
-        Without being told of it, sidecars offer again what is kept.
+        Unless the acknowledgements are delivered, sidecars resend bills that
+        are in the ledger already.
         """
         for sidecar in SIDECARS:
             self.deliver(entry, sidecar, kept=False)
@@ -187,7 +197,7 @@
         wait=st.sampled_from([0.0, 6.0, 100.0]),
     )
     def sweep(self, sidecar, wait):
-        """Let time pass and a sidecar offer again."""
+        """Let time pass and a sidecar resend its bills."""
         self.now += wait
         self.sidecars[sidecar].sweep()
         for entry in ENTRIES:
@@ -195,7 +205,7 @@
 
     @rule()
     def late_write_arrives(self):
-        """Let a write arrive that was given up."""
+        """Let a write take effect after its writer saw a failure."""
         if self.store.late:
             self.store.apply_late_write()
 
@@ -209,19 +219,19 @@
 
     @rule(entry=st.sampled_from(ENTRIES))
     def freeze(self, entry):
-        """Freeze an entry."""
+        """Freeze an entry, which then neither receives nor writes."""
         self.frozen.add(entry)
 
     @rule(entry=st.sampled_from(ENTRIES))
     def thaw(self, entry):
-        """Let an entry go on, with what waited in its sockets."""
+        """Resume an entry and deliver the messages buffered in its sockets."""
         self.frozen.discard(entry)
         for link, message in self.backlog.pop(entry, ()):
             self.entries[entry].receive(link, message)
 
     @rule(entry=st.sampled_from(ENTRIES))
     def midnight(self, entry):
-        """Let a day pass and an entry begin a new log."""
+        """Let a day pass and an entry start a new log."""
         self.now += 86_400
         if entry not in self.frozen and self.entries[entry].rotate():
             announcement = self.entries[entry].announcement()
@@ -231,7 +241,7 @@
 
     @rule(entry=st.sampled_from(ENTRIES))
     def kill_entry(self, entry):
-        """Kill an entry and start it again."""
+        """Kill an entry and restart it."""
         for sidecar in SIDECARS:
             if (entry, sidecar) in self.links:
                 self.close_link(entry, sidecar)
@@ -242,18 +252,20 @@
             if attempt not in self.expected_lost and not self.count_copies(
                 attempt
             ):
-                # The entry had it; its sidecar must be gone as well.
+                # The entry held the last copy, so the sidecar must have been
+                # killed before.
                 assert attempt in self.killed, sidecar
                 self.expected_lost.add(attempt)
 
     @rule(sidecar=st.sampled_from(SIDECARS))
     def kill_sidecar(self, sidecar):
-        """Kill a sidecar and start it again."""
+        """Kill a sidecar and restart it."""
         for entry in ENTRIES:
             if (entry, sidecar) in self.links:
                 to_entry, to_sidecar = self.links.pop((entry, sidecar))
                 to_entry.closed = to_sidecar.closed = True
-                # What the kernel took from a killed process still arrives.
+                # Data that the kernel accepted from the killed process is
+                # still delivered.
                 while to_entry.inbox:
                     waiting = (to_sidecar, to_entry.inbox.popleft())
                     self.backlog.setdefault(entry, []).append(waiting)
@@ -264,7 +276,7 @@
         self.start_sidecar(sidecar)
         for attempt, bill in held.items():
             if not self.count_copies(attempt):
-                # It was the one place: no link stood to offer it over.
+                # The sidecar held the only copy, because no entry was linked.
                 assert bill.link is None
                 self.expected_lost.add(attempt)
         for entry in ENTRIES:
@@ -273,19 +285,19 @@
 
     @invariant()
     def no_duplicates(self):
-        """Find no attempt twice in the ledger."""
+        """Check that no attempt is in the ledger twice."""
         doubled = {a: n for a, n in ledger_rows(self.store).items() if n > 1}
         assert not doubled, doubled
 
     def teardown(self):
-        """Let all trouble end; then every bill must be there once."""
+        """Check that every bill is in the ledger once after recovery."""
         try:
             self.recover()
         finally:
             self.patch.stop()
 
     def recover(self):
-        """Give everyone time and links, then count."""
+        """Restore the platform, processes and links, then check the ledger."""
         self.store.down = False
         for entry in ENTRIES:
             self.thaw(entry)
--- a/tests/components/billing/test_processes.py
+++ b/tests/components/billing/test_processes.py
@@ -1,7 +1,8 @@
-"""Tests of billing through real processes, kills and outages.
+"""Tests of billing with real processes, kills and platform outages.
 
-Bills are counted in the platform stand-in's objects, requests and tokens as
-the callers got them; neither is the system's own word.
+Bills are counted in the objects of the platform stand-in, and requests and
+tokens in the responses to the callers. Neither relies on figures that the
+system reports about itself.
 """
 
 import base64
@@ -31,7 +32,7 @@
 
 
 def ledger(deployment):
-    """Return every row of the ledger: attempt, request, step and so on."""
+    """Return every row of the ledger as a list of the fields of `Bill`."""
     url = deployment.processes["platform"].url()
     listing = call("GET", url + LEDGER).json()
     rows = []
@@ -43,7 +44,7 @@
 
 
 def wait_billed(deployment, replies):
-    """Wait until each request is in the ledger, then count again."""
+    """Wait until all bills are in the ledger; return the rows per attempt."""
     wanted = {reply.headers[REQUEST_ID] for reply in replies}
     wait_until(
         lambda: wanted <= {row[1] for row in ledger(deployment)},
@@ -64,6 +65,7 @@
 
 
 def send_requests(deployment, entry, count=6):
+    """Send requests to an entry and check that each succeeds."""
     replies = [
         chat(deployment, f"sofa {n}", tokens=4, entry=entry)
         for n in range(count)
@@ -73,7 +75,7 @@
 
 
 def find_entry_with_bills(deployment):
-    """Return the name of the entry that holds bills now."""
+    """Return the name of an entry that holds pending bills."""
     name = "lacewingdock_bills_pending"
     found = []
 
@@ -90,7 +92,11 @@
 
 
 def start_stream(deployment, entry):
-    """Stream through an entry; its links then carry work, and silence shows."""
+    """Stream through an entry in a thread.
+
+    Its links then carry a request, so that its silence is detected once it is
+    frozen.
+    """
     begun = threading.Event()
     options = {"stream": True, "tokens": 300, "entry": entry}
     thread = threading.Thread(
@@ -103,9 +109,8 @@
     return thread
 
 
-# Symptom: the platform was down and requests of that time are never billed.
-# Events: the platform goes down, requests run, it comes back. Cause: a
-# ledger write that failed is given up.
+# Guards against requests that are never billed because they ran during a
+# platform outage: a failed ledger write that is not retried loses its bills.
 def test_requests_of_an_outage_are_billed_once(deployment):
     deployment.faults(down=True)
     replies = send_requests(deployment, "entry-0")
@@ -118,13 +123,13 @@
 
 
 def restore_and_read_ledger(deployment):
+    """End the platform outage and return every row of the ledger."""
     deployment.faults()
     return ledger(deployment)
 
 
-# Symptom: bills stand twice after a ledger write's answer was lost. Events:
-# the write takes effect, its answer never comes, it is tried again. Cause:
-# the writer takes no answer for no effect.
+# Guards against duplicate bills after the answer of a ledger write was lost:
+# the write took effect, and a writer that assumes it didn't writes again.
 def test_lost_ledger_answers(deployment):
     deployment.faults(lose_answers=3, lose_collection="ledger")
     replies = send_requests(deployment, "entry-1")
@@ -133,10 +138,9 @@
     assert set(counts.values()) == {1}
 
 
-# Symptom: the bills that an entry held are gone or stand twice. Events: the
-# platform is down, requests run, the entry that holds their bills is killed,
-# or freezes until another took its bills over and then thaws. Cause: the
-# entry's memory was the only place, or two entries write the same bills.
+# Guards against lost or duplicate bills of an entry that is killed, or frozen
+# until another entry has written its bills and then thawed. They are lost if
+# the entry held the only copy, and duplicated if both entries write them.
 @pytest.mark.parametrize("end", ["kill", "freeze"])
 def test_an_entry_goes_with_bills_pending(deployment, end):
     deployment.faults(down=True)
@@ -164,9 +168,9 @@
     assert set(counts.values()) == {1}
 
 
-# Symptom: what a killed sidecar's upstream ran is never billed. Events:
-# requests run, their callers have whole answers, the sidecar is killed before
-# the ledger has the bills. Cause: the sidecar's memory was the only place.
+# Guards against lost bills of a sidecar that is killed after the callers got
+# their complete answers and before the bills are in the ledger: they are lost
+# if the sidecar held the only copy.
 def test_a_sidecar_is_killed_with_bills_held(deployment):
     deployment.faults(down=True)
     replies = send_requests(deployment, "entry-0")
@@ -178,9 +182,9 @@
     assert set(counts.values()) == {1}
 
 
-# Symptom: a caller that sends a booking again pays twice. Events: the same
-# key comes three times through three entries. Cause: a bill for each request
-# rather than for each run.
+# Guards against charging a repeated booking again: one idempotency key is sent
+# through three entries, and a bill per request rather than per run charges it
+# three times.
 def test_a_repeated_claim_is_billed_once(deployment):
     first, *_ = (
         book(deployment, "bill-slot", "bill-key", entry=f"entry-{n}")
@@ -191,11 +195,11 @@
     assert len(bookings) == 1
 
 
-# Symptom: a caller that leaves a stream pays nothing, or for all of it.
-# Events: a caller closes its connection in mid-stream. Cause: the engine
-# says its token count only with the last event.
+# Guards against billing nothing, or the complete answer, when a caller closes
+# its connection in mid-stream: the engine reports its token count only with
+# the last event.
 def test_a_cancelled_stream_is_billed_for_what_was_generated(deployment):
-    # The engine's sidecar was restarted; the entry may be dialing it still.
+    # The engine's sidecar was restarted, and the entry may still be dialing it.
     wait_until(
         lambda: chat(deployment, "probe", tokens=2).status == 200,
         "no engine is linked",
--- a/tests/components/billing/test_record.py
+++ b/tests/components/billing/test_record.py
@@ -1,4 +1,4 @@
-"""Tests of what is billed for a run, what is charged, and the bounds."""
+"""Tests of the bill of a run, the charged attempts and the outbox."""
 
 import time
 
@@ -38,7 +38,7 @@
 
 
 def ended_run(outcome, *, target="v", caller_left=False, pieces=0):
-    """Return what `before_end` is told of a run."""
+    """End a run; return the run and the outcome passed to `before_end`."""
     path = "/confirm?x=1" if target == "booking" else "/chat"
     attempt = Attempt("a", "r", "w", target, "POST", path, b"x" * 400)
     attempt.repeatable = target == "v"
@@ -83,10 +83,9 @@
     assert bill.at <= time.time()
 
 
-# Symptom: a caller pays for an answer that was only read from a record, or
-# for a request that was refused. Events: a repeated claim meets the first
-# run's outcome; a request is refused in the queue. Cause: a bill for each
-# end rather than for each run that the upstream saw.
+# Guards against billing an answer that was only read from a stored record, as
+# for a repeated claim, or a request that was refused in the queue. This comes
+# from a bill per ended run instead of per run that reached the upstream.
 @pytest.mark.parametrize("executed", [False, True])
 def test_only_what_ran_is_billed(executed):
     billing = SidecarBilling.__new__(SidecarBilling)
@@ -104,9 +103,9 @@
     )
 
 
-# Symptom: a request is charged twice. Events: its entry lost the link to the
-# first upstream and tried another; both ran to the end. Cause: each attempt
-# is a row, and rows are summed.
+# Guards against charging a request twice: its entry lost the link to the first
+# upstream and retried on another, both ran to the end, and each attempt has a
+# row in the ledger.
 @pytest.mark.parametrize(
     ("bills", "charged"),
     [
@@ -123,8 +122,8 @@
     assert charged_attempts(reversed(bills)) == charged
 
 
-# Symptom: a request around midnight is charged on both days. Events: as
-# above, with the second attempt in the next day's log.
+# Guards against charging a request on two days: as above, with the bill of the
+# second attempt in the next day's log.
 def test_a_retry_over_midnight_is_charged_on_one_day():
     store = FakeStore()
     days = {
@@ -141,20 +140,22 @@
     assert read_statement(store, "other", "20260102").cost == 0
 
 
-def holder(name, domain, log):
+def announce_entry(name, domain, log):
+    """Return the link to an entry, and its announcement of its log."""
     link = FakeLink(Hello(name, name, "entry", domain, b""))
     return link, BillsKept(log, 3, [])
 
 
-# Symptom: bills are gone after a failure domain was lost. Events: a sidecar
-# and the entry that holds its bills stand in one domain, which loses power.
-# Cause: both places are in one failure domain.
+# Guards against losing bills with a failure domain: a sidecar and the entry
+# that holds the copies of its bills are in one domain, which loses power.
 def test_bills_are_held_in_another_failure_domain():
     for number in range(20):
         box = Outbox(f"s{number}", "hall-a")
         links = {}
         for name, domain in (("e0", "hall-a"), ("e1", "hall-b")):
-            links[name], announcement = holder(name, domain, f"log-{name}")
+            links[name], announcement = announce_entry(
+                name, domain, f"log-{name}"
+            )
             box.on_kept(links[name], announcement)
         box.record("a", b'["a"]')
         assert not links["e0"].inbox
@@ -163,8 +164,8 @@
         ]
 
 
-# Symptom: a sidecar grows through a long outage until it is killed, and its
-# bills with it. Events: the platform is down for hours. Cause: no bound.
+# Guards against an unbounded outbox: while the platform is down for hours, the
+# sidecar's memory grows until it is killed, and its bills are lost.
 def test_no_new_work_once_the_outbox_is_full(monkeypatch):
     monkeypatch.setattr(outbox, "MAX_HELD", 3)
     billing = SidecarBilling.__new__(SidecarBilling)
@@ -181,15 +182,15 @@
     assert caught.value.retry_after_s
 
 
-# Symptom: bills are lost when an entry and soon after a sidecar die. Events:
-# an entry dies; its sidecars wait for it; one of them dies meanwhile. Cause:
-# a bill stays in one place for as long as the wait.
+# Guards against losing bills when an entry and soon after a sidecar die: while
+# the sidecar waits before it sends the entry's bills to another entry, it
+# holds the only copy.
 def test_bills_go_to_another_entry_as_soon_as_a_link_is_lost():
     box = Outbox("s", "hall-a")
-    first, announcement = holder("e1", "hall-b", "log-e1")
+    first, announcement = announce_entry("e1", "hall-b", "log-e1")
     box.on_kept(first, announcement)
     box.record("a", b'["a"]')
-    second, announcement = holder("e2", "hall-b", "log-e2")
+    second, announcement = announce_entry("e2", "hall-b", "log-e2")
     box.on_kept(second, announcement)
     box.on_close(first)
     assert list(second.inbox) == [Bills("log-e1", 3, False, [b'["a"]'])]
