--- a/lacewingdock/components/billing/outbox.py
+++ b/lacewingdock/components/billing/outbox.py
@@ -1,4 +1,4 @@
-"""Support for the sidecar's side: bills held until the ledger has them."""
+"""Support for bills that a sidecar holds until they are in the ledger."""
 
 import hashlib
 import threading
@@ -7,25 +7,26 @@
 from dataclasses import dataclass, field
 
 from lacewingdock.components.billing.const import (
+    MAX_BILLS_PER_MESSAGE,
     MAX_HELD,
-    MAX_OFFERED,
-    RESEND_S,
+    RESEND_TIMEOUT_S,
 )
 from lacewingdock.links.link import Link
 from lacewingdock.links.messages import Bills, BillsKept
 
 
 @dataclass(slots=True)
-class Held:
-    """A bill that isn't known to be in the ledger.
+class HeldBill:
+    """A bill that is not confirmed to be in the ledger.
 
     Attributes:
-        row: The bill's row.
-        log: The one log it may ever be written to; empty until it was first
-            offered.
-        after: It is in no slot of the log before this one.
-        link: The link it was offered over last.
-        offered: Monotonic time of that offer.
+        row: The bill's encoded row.
+        log: Name of the only log that the bill may be written to; empty until
+            the bill is assigned to an entry for the first time.
+        after: Slot of the log; no slot before it contains the bill.
+        link: The link that the bill was last assigned to; None when no entry
+            is assigned.
+        offered: Monotonic time in seconds of that assignment.
     """
 
     row: bytes
@@ -36,13 +37,13 @@
 
 
 @dataclass(slots=True)
-class Holder:
-    """An entry that takes bills.
+class LogWriter:
+    """An entry that has announced its log.
 
     Attributes:
-        link: The link to it.
-        log: The log that it writes.
-        slot: The log's first free slot when the entry last said so.
+        link: The link to the entry.
+        log: Name of the log that the entry writes.
+        slot: The log's first free slot in the entry's latest announcement.
     """
 
     link: Link
@@ -52,7 +53,13 @@
 
 @dataclass(slots=True)
 class _Batch:
-    """Bills that go over one link together, by their log."""
+    """Bills of one log that are sent in one message.
+
+    Attributes:
+        after: Slot of the log; no slot before it contains any of the bills.
+        attempts: Ids of the bills' attempts.
+        rows: The bills' rows, in the same order.
+    """
 
     after: int
     attempts: list[str] = field(default_factory=list)
@@ -60,19 +67,20 @@
 
 
 class Outbox:
-    """Bills of this sidecar's runs, and the entries that hold them too.
+    """Bills of this sidecar's runs, and the entries that hold copies.
 
-    A bill is bound to a log with its first offer and is never written to
-    another. So whichever entries it is offered to later, they meet at the
-    same slots, and only one of them puts it in (`AppendLog`).
+    A bill is bound to a log when it is first assigned to an entry, and is
+    never written to another log. All entries that receive the bill later
+    therefore compete for the same slots, and only one of them adds it
+    (`AppendLog`).
 
     Attributes:
         instance: Name of this instance.
-        failure_domain: Where it stands.
+        failure_domain: Failure domain of this instance.
         clock: Returns monotonic seconds.
         held: The bills by attempt id.
-        holders: Entries that said which log they write, by link.
-        kept: Bills that the ledger was seen to have, counted.
+        log_writers: The entries that announced their log, by link.
+        kept: Number of held bills that were confirmed in the ledger.
     """
 
     __slots__ = (
@@ -80,9 +88,9 @@
         "clock",
         "failure_domain",
         "held",
-        "holders",
         "instance",
         "kept",
+        "log_writers",
     )
 
     def __init__(
@@ -91,87 +99,90 @@
         failure_domain: str,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Start with nothing held."""
+        """Initialize without bills or entries."""
         self.instance = instance
         self.failure_domain = failure_domain
         self.clock = clock
-        self.held: dict[str, Held] = {}
-        self.holders: dict[Link, Holder] = {}
+        self.held: dict[str, HeldBill] = {}
+        self.log_writers: dict[Link, LogWriter] = {}
         self.kept = 0
         self._lock = threading.Lock()
 
     def has_room(self) -> bool:
-        """Tell whether another run may start; its bill must find a place."""
+        """Return whether the bill of another run fits below `MAX_HELD`."""
         return len(self.held) < MAX_HELD
 
     def record(self, attempt: str, row: bytes) -> None:
-        """Take a bill in and offer it at once.
+        """Add a bill and send it to an entry at once.
 
-        Called before the answer's end is sent: once a caller has its whole
-        answer, its bill is on the way to a second place, and this process
-        may die.
+        Called before the end of the answer is sent: once the caller has its
+        complete answer, a copy of the bill is on its way to an entry, so that
+        the bill outlives this process.
         """
         with self._lock:
-            self.held[attempt] = Held(row)
-            batches = self._offers([attempt])
+            self.held[attempt] = HeldBill(row)
+            batches = self._assign_batches([attempt])
         self._send(batches, urgent=False)
 
     def on_kept(self, link: Link, message: BillsKept) -> None:
-        """Take an entry's word on its log and on what the ledger has."""
+        """Record an entry's log and drop the bills it has acknowledged."""
         with self._lock:
-            self.holders[link] = Holder(link, message.log, message.slot)
+            self.log_writers[link] = LogWriter(link, message.log, message.slot)
             for attempt in message.attempts:
                 self.kept += self.held.pop(attempt, None) is not None
 
     def on_close(self, link: Link) -> None:
-        """Offer what a lost link's entry holds to another, at once.
+        """Send the bills of a disconnected entry to another one at once.
 
-        Until then this process is the only place that is known of. Should
-        the entry live, the two meet at the log's next slot, which costs a
-        read.
+        Until then this process may hold the only copy. If the disconnected
+        entry is alive, both entries compete for the log's next slot, which
+        costs one read.
         """
         with self._lock:
-            self.holders.pop(link, None)
-            left = [a for a, h in self.held.items() if h.link is link]
-            for attempt in left:
+            self.log_writers.pop(link, None)
+            unassigned = [a for a, h in self.held.items() if h.link is link]
+            for attempt in unassigned:
                 self.held[attempt].link = None
-            batches = self._offers(left)
+            batches = self._assign_batches(unassigned)
         self._send(batches, urgent=False)
 
     def sweep(self, urgent: bool = False) -> None:
-        """Offer what nobody holds, or nobody answered for.
+        """Send bills that have no entry or are overdue for acknowledgement.
 
         Args:
-            urgent: Whether this sidecar is about to end: what waits is
-                offered again and the entries write it now.
+            urgent: Whether this sidecar is about to stop: all held bills are
+                sent again, and the entries write them at once.
         """
         now = self.clock()
         with self._lock:
             due = [
                 a for a, h in self.held.items() if urgent or self._due(h, now)
             ]
-            batches = self._offers(due)
+            batches = self._assign_batches(due)
         self._send(batches, urgent)
 
-    def _due(self, held: Held, now: float) -> bool:
-        return held.link is None or now - held.offered > RESEND_S
+    def _due(self, held: HeldBill, now: float) -> bool:
+        return held.link is None or now - held.offered > RESEND_TIMEOUT_S
 
-    def _offers(
+    def _assign_batches(
         self, attempts: Iterable[str]
     ) -> dict[tuple[Link, str], list[_Batch]]:
-        """Choose a holder for each bill and note the offer."""
+        """Assign each bill to an entry and group the bills into messages.
+
+        Bills stay unassigned while no entry has announced its log.
+        """
         now = self.clock()
         batches: dict[tuple[Link, str], list[_Batch]] = {}
         for attempt in attempts:
             held = self.held[attempt]
-            holder = self._choose(held)
-            if holder is None:
+            writer = self._choose_writer(held)
+            if writer is None:
                 continue
             if not held.log:
-                held.log, held.after = holder.log, holder.slot
-            held.link, held.offered = holder.link, now
-            group = batches.setdefault((holder.link, held.log), [])
-            if not group or len(group[-1].rows) >= MAX_OFFERED:
+                held.log, held.after = writer.log, writer.slot
+            held.link, held.offered = writer.link, now
+            group = batches.setdefault((writer.link, held.log), [])
+            if not group or len(group[-1].rows) >= MAX_BILLS_PER_MESSAGE:
                 group.append(_Batch(held.after))
             batch = group[-1]
             batch.after = min(batch.after, held.after)
@@ -179,22 +190,23 @@
             batch.rows.append(held.row)
         return batches
 
-    def _choose(self, held: Held) -> Holder | None:
-        """Choose who holds a bill.
+    def _choose_writer(self, held: HeldBill) -> LogWriter | None:
+        """Choose the entry that a bill is sent to.
 
-        The writer of its log, if it is linked; a first offer goes to an
-        entry of another failure domain, so that the loss of one doesn't take
-        both places. Among those the choice is steady, so that few sidecars
-        depend on one log.
+        The writer of the bill's log is chosen if it is linked. Otherwise, as
+        for a new bill, an entry of another failure domain is preferred, so
+        that the loss of one domain doesn't destroy both copies. Among those,
+        rendezvous hashing keeps a sidecar's choice stable, so that few
+        sidecars depend on one log.
         """
-        holders = list(self.holders.values())
-        for holder in holders:
-            if held.log and holder.log == held.log:
-                return holder
-        return max(holders, key=self._preference, default=None)
-
-    def _preference(self, holder: Holder) -> tuple[bool, bytes]:
-        peer = holder.link.peer
+        log_writers = list(self.log_writers.values())
+        for writer in log_writers:
+            if held.log and writer.log == held.log:
+                return writer
+        return max(log_writers, key=self._preference, default=None)
+
+    def _preference(self, writer: LogWriter) -> tuple[bool, bytes]:
+        peer = writer.link.peer
         text = f"{self.instance}\0{peer.instance}"
         elsewhere = peer.failure_domain != self.failure_domain
         return elsewhere, hashlib.sha256(text.encode()).digest()
@@ -206,10 +218,13 @@
             for batch in group:
                 message = Bills(log, batch.after, urgent, batch.rows)
                 if not link.send(message):
-                    self._not_sent(link, batch.attempts)
+                    self._unassign(link, batch.attempts)
+
+    def _unassign(self, link: Link, attempts: list[str]) -> None:
+        """Leave unsent bills to the next sweep.
 
-    def _not_sent(self, link: Link, attempts: list[str]) -> None:
-        """Let the next sweep try again; a stuck entry must not hold answers."""
+        Retrying here would delay the answers behind an unresponsive entry.
+        """
         with self._lock:
             for attempt in attempts:
                 held = self.held.get(attempt)
--- a/lacewingdock/components/billing/report.py
+++ b/lacewingdock/components/billing/report.py
@@ -1,4 +1,4 @@
-"""Support for printing the bills of a day."""
+"""Support for formatting the statement of a workspace and day."""
 
 import time
 from typing import Any
@@ -8,8 +8,8 @@
 from lacewingdock.components.billing.const import MICROS
 from lacewingdock.components.billing.reader import (
     DAY_FORMAT,
-    Line,
     Statement,
+    StatementLine,
     read_statement,
 )
 from lacewingdock.platform.store import ObjectStore
@@ -28,23 +28,23 @@
 def show_statement(
     store: ObjectStore, workspace: str, day: str, as_json: bool
 ) -> str:
-    """Return a workspace's bills of a day as a table or as JSON.
+    """Return a workspace's statement of a day as a table or as JSON.
 
     Args:
-        store: The platform.
+        store: The platform's object store.
         workspace: Name of the workspace.
         day: "YYYYMMDD", or empty for today (UTC).
         as_json: Whether to return JSON.
 
     Raises:
-        LacewingdockError: As `read_statement`.
+        LacewingdockError: The same errors as `read_statement`.
     """
     day = day or time.strftime(DAY_FORMAT, time.gmtime())
     statement = read_statement(store, workspace, day)
     return _json(statement) if as_json else _table(statement)
 
 
-def _row(line: Line) -> dict[str, Any]:
+def _row(line: StatementLine) -> dict[str, Any]:
     row = {name: getattr(line, name) for name in COLUMNS}
     for name in ("cost", "uncharged_cost"):
         row[name] /= MICROS
@@ -53,14 +53,14 @@
 
 def _json(statement: Statement) -> str:
     lines = [_row(line) for _, line in sorted(statement.lines.items())]
-    whole = {
+    document = {
         "workspace": statement.workspace,
         "day": statement.day,
         "requests": statement.requests,
         "cost": statement.cost / MICROS,
         "lines": lines,
     }
-    return msgspec.json.encode(whole).decode()
+    return msgspec.json.encode(document).decode()
 
 
 def _table(statement: Statement) -> str:
--- a/tests/components/billing/test_billing_machine.py
+++ b/tests/components/billing/test_billing_machine.py
@@ -1,11 +1,12 @@
-"""Property test: whatever fails, each attempt that ran is billed once.
+"""Property test: each attempt that ran is billed once, whatever fails.
 
-Symptoms looked for: a bill missing from the ledger; a bill in it twice.
-Events: any order of runs that end, messages delivered or lost with their
-link, entries frozen, thawed, killed and restarted, sidecars killed, platform
-outages, writes whose answer is lost, that don't take effect or that take
-effect late. Causes: a holder dies with the only copy; two holders both write;
-a writer doesn't know what its write did.
+Guards against bills that are missing from the ledger or in it twice. The
+machine ends runs, delivers messages or loses them with their link, freezes,
+thaws, kills and restarts entries, kills sidecars, takes the platform down, and
+makes writes lose their answer, take no effect or take effect late. A bill is
+lost when a process dies with the only copy, and is duplicated when two
+processes both write it or when a writer doesn't know whether its write took
+effect.
 
 The ledger is read from the fake platform's objects, without the reader.
 """
@@ -30,11 +31,11 @@
 
 ENTRIES = ("e0", "e1", "e2")
 SIDECARS = ("s0", "s1")
-FATES = ("ok", "lost", "dropped", "late")
+WRITE_OUTCOMES = ("ok", "lost", "dropped", "late")
 
 
 def ledger_rows(store):
-    """Count each attempt in the platform's objects."""
+    """Return how often each attempt is in the platform's objects."""
     rows = Counter()
     for stored in store.objects.get("ledger", {}).values():
         text = zlib.decompress(base64.b64decode(stored.value))
@@ -43,11 +44,15 @@
 
 
 class BillingMachine(RuleBasedStateMachine):
-    """Entries and sidecars with a link between each pair."""
+    """Entries and sidecars with a link between each pair.
+
+    A bill is expected to be lost when the only processes that held a copy
+    were killed.
+    """
 
     def __init__(self):
         super().__init__()
-        # Forgetting early lets short runs meet it.
+        # A small bound makes logs evict keys within a short run.
         self.patch = mock.patch.object(append_log, "REMEMBERED_SLOTS", 1)
         self.patch.start()
         self.store = FakeStore()
@@ -55,7 +60,7 @@
         self.numbers = itertools.count()
         self.billed: dict[str, str] = {}
         self.killed: set[str] = set()
-        self.excused: set[str] = set()
+        self.expected_lost: set[str] = set()
         self.frozen: set[str] = set()
         self.backlog: dict[str, list] = {}
         self.entries: dict[str, Ledger] = {}
@@ -67,28 +72,28 @@
             self.start_entry(name)
 
     def start_entry(self, name):
-        """Start an entry afresh, with an empty memory and a new log."""
+        """Start an entry with empty memory and a new log."""
         incarnation = f"{name}-{next(self.numbers)}"
         self.entries[name] = Ledger(
             self.store, name, incarnation, lambda: self.now
         )
         for sidecar in SIDECARS:
-            self.open(name, sidecar)
+            self.open_link(name, sidecar)
 
     def start_sidecar(self, name):
-        """Start a sidecar afresh."""
+        """Start a sidecar with empty memory."""
         self.sidecars[name] = Outbox(name, "a", lambda: self.now)
 
-    def open(self, entry, sidecar):
-        """Open a link; the entry says which log it writes."""
+    def open_link(self, entry, sidecar):
+        """Open a link, over which the entry announces its log."""
         domain = "a" if entry == "e0" else "b"
         to_entry = FakeLink(Hello(entry, entry, "entry", domain, b""))
         to_sidecar = FakeLink(Hello(sidecar, sidecar, "sidecar", "a", b""))
         self.links[entry, sidecar] = to_entry, to_sidecar
         to_sidecar.send(self.entries[entry].announcement())
 
-    def close(self, entry, sidecar):
-        """Lose a link with all that is on the way."""
+    def close_link(self, entry, sidecar):
+        """Close a link and drop its messages in flight."""
         to_entry, to_sidecar = self.links.pop((entry, sidecar))
         for link in (to_entry, to_sidecar):
             link.closed = True
@@ -96,7 +101,11 @@
         self.sidecars[sidecar].on_close(to_entry)
 
     def deliver(self, entry, sidecar, kept=True):
-        """Deliver what is on the way between two that run."""
+        """Deliver the messages in flight between an entry and a sidecar.
+
+        A frozen entry receives none. Without `kept`, acknowledgements stay in
+        flight.
+        """
         if (entry, sidecar) not in self.links:
             return
         to_entry, to_sidecar = self.links[entry, sidecar]
@@ -106,12 +115,12 @@
             self.sidecars[sidecar].on_kept(to_entry, message)
         while to_entry.inbox and entry not in self.frozen:
             message = to_entry.inbox.popleft()
-            self.entries[entry].offer(to_sidecar, message)
+            self.entries[entry].receive(to_sidecar, message)
 
-    def places(self, attempt):
-        """Count the living copies of a bill."""
+    def count_copies(self, attempt):
+        """Count the copies of a bill in memory, in the ledger and in flight."""
         late = FakeStore()
-        for collection, name, value, _ in self.store.late:
+        for collection, name, value, _, _ in self.store.late:
             objects = late.objects.setdefault(collection, {})
             objects[name] = type("Late", (), {"value": value})
         return (
@@ -137,7 +146,7 @@
         delivered=st.booleans(),
     )
     def end_runs(self, sidecar, count, delivered):
-        """End runs; their bills may reach the entry at once."""
+        """End runs, whose bills may reach an entry at once."""
         for _ in range(count):
             attempt = f"a{next(self.numbers)}"
             row = json.dumps([attempt, "request"]).encode()
@@ -153,23 +162,24 @@
         again=st.booleans(),
     )
     def cut_link(self, entry, sidecar, again):
-        """Lose a link; it may come back at once."""
+        """Close a link, which may be opened again at once."""
         if (entry, sidecar) in self.links:
-            self.close(entry, sidecar)
+            self.close_link(entry, sidecar)
         if again and entry not in self.frozen:
-            self.open(entry, sidecar)
+            self.open_link(entry, sidecar)
             self.deliver(entry, sidecar)
 
     @rule(
         entry=st.sampled_from(ENTRIES),
-        write_outcomes=st.lists(st.sampled_from(FATES), max_size=2),
+        write_outcomes=st.lists(st.sampled_from(WRITE_OUTCOMES), max_size=2),
         rounds=st.integers(1, 3),
-        told=st.booleans(),
+        acknowledged=st.booleans(),
     )
-    def flush(self, entry, write_outcomes, rounds, told):
-        """Let an entry take what is on the way and write, more than once.
+    def flush(self, entry, write_outcomes, rounds, acknowledged):
+        """Let an entry receive messages in flight and write several times.
 
-        Without being told of it, sidecars offer again what is kept.
+        Unless the acknowledgements are delivered, sidecars resend bills that
+        are in the ledger already.
         """
         for sidecar in SIDECARS:
             self.deliver(entry, sidecar, kept=False)
@@ -179,7 +189,7 @@
         for _ in range(rounds):
             self.entries[entry].flush()
         self.store.write_outcomes.clear()
-        for sidecar in SIDECARS if told else ():
+        for sidecar in SIDECARS if acknowledged else ():
             self.deliver(entry, sidecar)
 
     @rule(
@@ -187,7 +197,7 @@
         wait=st.sampled_from([0.0, 6.0, 100.0]),
     )
     def sweep(self, sidecar, wait):
-        """Let time pass and a sidecar offer again."""
+        """Let time pass and a sidecar resend its bills."""
         self.now += wait
         self.sidecars[sidecar].sweep()
         for entry in ENTRIES:
@@ -195,7 +205,7 @@
 
     @rule()
     def late_write_arrives(self):
-        """Let a write arrive that was given up."""
+        """Let a write take effect after its writer saw a failure."""
         if self.store.late:
             self.store.apply_late_write()
 
@@ -209,21 +219,21 @@
 
     @rule(entry=st.sampled_from(ENTRIES))
     def freeze(self, entry):
-        """Freeze an entry."""
+        """Freeze an entry, which then neither receives nor writes."""
         self.frozen.add(entry)
 
     @rule(entry=st.sampled_from(ENTRIES))
     def thaw(self, entry):
-        """Let an entry go on, with what waited in its sockets."""
+        """Resume an entry and deliver the messages buffered in its sockets."""
         self.frozen.discard(entry)
         for link, message in self.backlog.pop(entry, ()):
-            self.entries[entry].offer(link, message)
+            self.entries[entry].receive(link, message)
 
     @rule(entry=st.sampled_from(ENTRIES))
     def midnight(self, entry):
-        """Let a day pass and an entry begin a new log."""
+        """Let a day pass and an entry start a new log."""
         self.now += 86_400
-        if entry not in self.frozen and self.entries[entry].roll():
+        if entry not in self.frozen and self.entries[entry].rotate():
             announcement = self.entries[entry].announcement()
             for (name, _), (_, to_sidecar) in self.links.items():
                 if name == entry:
@@ -231,27 +241,31 @@
 
     @rule(entry=st.sampled_from(ENTRIES))
     def kill_entry(self, entry):
-        """Kill an entry and start it again."""
+        """Kill an entry and restart it."""
         for sidecar in SIDECARS:
             if (entry, sidecar) in self.links:
-                self.close(entry, sidecar)
+                self.close_link(entry, sidecar)
         self.frozen.discard(entry)
         self.backlog.pop(entry, None)
         self.start_entry(entry)
         for attempt, sidecar in self.billed.items():
-            if attempt not in self.excused and not self.places(attempt):
-                # The entry had it; its sidecar must be gone as well.
+            if attempt not in self.expected_lost and not self.count_copies(
+                attempt
+            ):
+                # The entry held the last copy, so the sidecar must have been
+                # killed before.
                 assert attempt in self.killed, sidecar
-                self.excused.add(attempt)
+                self.expected_lost.add(attempt)
 
     @rule(sidecar=st.sampled_from(SIDECARS))
     def kill_sidecar(self, sidecar):
-        """Kill a sidecar and start it again."""
+        """Kill a sidecar and restart it."""
         for entry in ENTRIES:
             if (entry, sidecar) in self.links:
                 to_entry, to_sidecar = self.links.pop((entry, sidecar))
                 to_entry.closed = to_sidecar.closed = True
-                # What the kernel took from a killed process still arrives.
+                # Data that the kernel accepted from the killed process is
+                # still delivered.
                 while to_entry.inbox:
                     waiting = (to_sidecar, to_entry.inbox.popleft())
                     self.backlog.setdefault(entry, []).append(waiting)
@@ -261,37 +275,37 @@
         self.killed |= set(held)
         self.start_sidecar(sidecar)
         for attempt, bill in held.items():
-            if not self.places(attempt):
-                # It was the one place: no link stood to offer it over.
+            if not self.count_copies(attempt):
+                # The sidecar held the only copy, because no entry was linked.
                 assert bill.link is None
-                self.excused.add(attempt)
+                self.expected_lost.add(attempt)
         for entry in ENTRIES:
             if entry not in self.frozen:
-                self.open(entry, sidecar)
+                self.open_link(entry, sidecar)
 
     @invariant()
-    def none_twice(self):
-        """Find no attempt twice in the ledger."""
+    def no_duplicates(self):
+        """Check that no attempt is in the ledger twice."""
         doubled = {a: n for a, n in ledger_rows(self.store).items() if n > 1}
         assert not doubled, doubled
 
     def teardown(self):
-        """Let all trouble end; then every bill must be there once."""
+        """Check that every bill is in the ledger once after recovery."""
         try:
             self.recover()
         finally:
             self.patch.stop()
 
     def recover(self):
-        """Give everyone time and links, then count."""
+        """Restore the platform, processes and links, then check the ledger."""
         self.store.down = False
         for entry in ENTRIES:
             self.thaw(entry)
         for _ in range(6):
-            self.now += const.RESEND_S + 1
+            self.now += const.RESEND_TIMEOUT_S + 1
             for entry, sidecar in itertools.product(ENTRIES, SIDECARS):
                 if (entry, sidecar) not in self.links:
-                    self.open(entry, sidecar)
+                    self.open_link(entry, sidecar)
                 self.deliver(entry, sidecar)
             for sidecar in SIDECARS:
                 self.sidecars[sidecar].sweep()
@@ -302,8 +316,8 @@
         while self.store.late:
             self.store.apply_late_write()
         rows = ledger_rows(self.store)
-        self.none_twice()
-        missing = set(self.billed) - set(rows) - self.excused
+        self.no_duplicates()
+        missing = set(self.billed) - set(rows) - self.expected_lost
         assert not missing, missing
         assert not any(s.held for s in self.sidecars.values())
         assert not any(e.pending for e in self.entries.values())
