--- a/lacewingdock/components/membership/__init__.py
+++ b/lacewingdock/components/membership/__init__.py
@@ -287,7 +287,7 @@
         while upstream.wanted and not self.daemon.stopping.is_set():
             start = time.monotonic()
             try:
-                self.peers.hold(upstream.instance.address)
+                self.peers.dial_and_read(upstream.instance.address)
             except ConnectionRefusedError:
                 upstream.refused = True
                 log.debug("nothing listens", peer=upstream.name)
--- a/lacewingdock/components/peers/__init__.py
+++ b/lacewingdock/components/peers/__init__.py
@@ -108,9 +108,9 @@
     def start(self) -> None:
         """Start accepting and beating."""
         self.daemon.spawn(self._accept_all)
-        self.daemon.every(BEAT_BUSY_S, self.pace)
+        self.daemon.every(BEAT_BUSY_S, self.send_beats)
 
-    def hold(self, address: str) -> None:
+    def dial_and_read(self, address: str) -> None:
         """Open a link and read it in the calling task until it closes.
 
         Raises:
@@ -171,7 +171,7 @@
                 callback(link)
             log.info("link closed", peer=link.peer.instance, reason=link.reason)
 
-    def pace(self) -> None:
+    def send_beats(self) -> None:
         """Beat links that are due and give up silent ones.
 
         Something between two peers can lose track of a connection: it stays
--- a/tests/components/membership/test_membership.py
+++ b/tests/components/membership/test_membership.py
@@ -92,7 +92,7 @@
         dials.release()
         raise ConnectionRefusedError(address)
 
-    node.peers.hold = refuse
+    node.peers.dial_and_read = refuse
     members = member_of(node)
     members.take([sidecar("worker-0")])
     (function, args) = node.daemon.spawned[-1]
--- a/tests/components/peers/test_peers.py
+++ b/tests/components/peers/test_peers.py
@@ -63,7 +63,7 @@
             link.last_heard = clock.now
         if sends:
             link.last_sent = clock.now
-        links.pace()
+        links.send_beats()
     links.listener.close()
     silent = None if link.silent_at is None else link.silent_at - start
     return link.beats, silent
--- a/tests/components/quarantine/virtual_fleet.py
+++ b/tests/components/quarantine/virtual_fleet.py
@@ -79,7 +79,7 @@
         self.beat = link_module.Beat
         self.closed_traffic = link_module.Traffic()
 
-    def hold(self, address):
+    def dial_and_read(self, address):
         """Open a link to a sidecar and read it to its end."""
         vt = self.fleet.vt
         other = self.fleet.sidecars[int(address.rpartition(":")[2]) - 1]
@@ -184,7 +184,7 @@
         # Its default was bound before the clock was replaced.
         self.runs.shelf.clock = fleet.vt.now
         self.runs.targets = [TARGET]
-        self.daemon.every(0.2, self.peers.pace)
+        self.daemon.every(0.2, self.peers.send_beats)
         self.daemon.every(1.0, self.runs.shelf.sweep)
         self.daemon.every(1.0, self.poll)
 
@@ -213,7 +213,7 @@
             answers, self.members, self.quarantine, self.daemon.random
         )
         inquiry = Inquiry(self.peers, self.members, self.quarantine)
-        self.daemon.every(0.2, self.peers.pace)
+        self.daemon.every(0.2, self.peers.send_beats)
         inquiry.start(self.daemon)
 
 
