--- a/standins/peers.py
+++ b/standins/peers.py
@@ -71,7 +71,7 @@
     config.step()
     links.start()
     for address in addresses:
-        daemon.spawn(links.hold, address)
+        daemon.spawn(links.dial_and_read, address)
 
 
 def main(
