--- a/lacewingdock/components/engine/__init__.py
+++ b/lacewingdock/components/engine/__init__.py
@@ -11,7 +11,7 @@
 from lacewingdock.helpers.log import get_logger
 
 NAME: Final = "engine"
-POLL_S: Final = 0.5
+POLL_INTERVAL_S: Final = 0.5
 FAILURES_UNTIL_DOWN: Final = 2
 
 log = get_logger(NAME)
@@ -28,7 +28,7 @@
         retired: Versions about to be unloaded, which take no new work.
     """
 
-    __slots__ = ("failures", "retired", "runs", "service", "url")
+    __slots__ = ("draining", "failures", "runs", "service", "url")
 
     def __init__(self, url: str, runs: Runs, service: str) -> None:
         """Take the upstream's URL."""
@@ -36,7 +36,7 @@
         self.runs = runs
         self.service = service
         self.failures = 0
-        self.retired: set[str] = set()
+        self.draining: set[str] = set()
 
     def poll(self) -> None:
         """Ask once; an upstream that doesn't answer serves nothing."""
@@ -50,33 +50,33 @@
             return
         self.failures = 0
         # Once it is gone it may be loaded again by whoever starts the engine.
-        self.retired &= set(report.versions)
+        self.draining &= set(report.versions)
         self.runs.crashes.seen(report.incarnation)
         served = (
             [self.service]
             if self.service
-            else sorted(set(report.versions) - self.retired)
+            else sorted(set(report.versions) - self.draining)
         )
         # The platform's list lags; the upstream knows first that it leaves.
         # What runs on it goes on.
         self.runs.set_targets([] if report.leaving else served)
 
-    def retire(self, version: str) -> int:
+    def drain(self, version: str) -> int:
         """Give a version no new work here.
 
         Returns:
             The number of its requests that have not ended.
         """
-        self.retired.add(version)
+        self.draining.add(version)
         self.runs.set_targets([t for t in self.runs.targets if t != version])
         return sum(
             run.outcome is None and run.attempt.target == version
             for run in self.runs.shelf.runs()
         )
 
-    def revive(self, version: str) -> None:
+    def undrain(self, version: str) -> None:
         """Let a version take work again once it is loaded."""
-        self.retired.discard(version)
+        self.draining.discard(version)
 
     def unload(self) -> None:
         """Nothing is held beyond the daemon's tasks."""
@@ -86,5 +86,5 @@
     """Set the engine's watcher up and start it."""
     engine = Engine(url, runs, service)
     daemon.add(NAME, engine)
-    daemon.every(POLL_S, engine.poll)
+    daemon.every(POLL_INTERVAL_S, engine.poll)
     return engine
--- a/lacewingdock/components/leases/__init__.py
+++ b/lacewingdock/components/leases/__init__.py
@@ -11,13 +11,13 @@
 from lacewingdock.components.leases.const import (
     FAILED_PROBES,
     NAME,
-    PATIENCE,
-    PROBE_S,
+    PROBE_INTERVAL_S,
     PROBE_TIMEOUT_S,
-    READ_S,
-    RENEW_S,
-    STALE_S,
-    WORK_S,
+    PROBES_PER_RANK,
+    READ_INTERVAL_S,
+    RENEW_INTERVAL_S,
+    RENEWAL_STALE_S,
+    WORK_INTERVAL_S,
 )
 from lacewingdock.components.leases.lease import Lease, LeaseRecord
 from lacewingdock.components.membership import Membership
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Duty:
+class LeaseTask:
     """A lease that this entry may hold, and what its holder does.
 
     Attributes:
@@ -69,7 +69,7 @@
         duties: The duties by lease name.
     """
 
-    __slots__ = ("daemon", "duties", "membership", "peers")
+    __slots__ = ("daemon", "membership", "peers", "tasks")
 
     def __init__(
         self, daemon: Daemon, peers: Peers, membership: Membership
@@ -78,14 +78,14 @@
         self.daemon = daemon
         self.peers = peers
         self.membership = membership
-        self.duties: dict[str, Duty] = {}
+        self.tasks: dict[str, LeaseTask] = {}
         held = prometheus_client.Gauge(
             "lacewingdock_leases_held",
             "Leases that this daemon believes to hold",
             registry=daemon.metrics,
         )
         held.set_function(
-            lambda: float(sum(d.lease.held for d in self.duties.values()))
+            lambda: float(sum(d.lease.held for d in self.tasks.values()))
         )
 
     def add(self, name: str, work: Callable[[int], None]) -> Lease:
@@ -97,56 +97,56 @@
             address=f"{self.daemon.settings.host}:{self.peers.port}",
         )
         lease = Lease(name, self.daemon.store, record)
-        self.duties[name] = Duty(lease, work)
+        self.tasks[name] = LeaseTask(lease, work)
         return lease
 
     def start(self) -> None:
         """Start one task for each lease."""
-        for duty in self.duties.values():
-            self.daemon.spawn(self._keep, duty)
+        for task in self.tasks.values():
+            self.daemon.spawn(self._run, task)
 
-    def _keep(self, duty: Duty) -> None:
+    def _run(self, task: LeaseTask) -> None:
         while not self.daemon.stopping.is_set():
-            pause = WORK_S if duty.lease.held else PROBE_S
+            pause = WORK_INTERVAL_S if task.lease.held else PROBE_INTERVAL_S
             if self.daemon.stopping.wait(
                 pause * self.daemon.random.uniform(0.8, 1.2)
             ):
                 return
             try:
-                self._round(duty)
+                self._run_once(task)
             except LacewingdockError as error:
-                log.info("lease", lease=duty.lease.name, error=error.detail)
+                log.info("lease", lease=task.lease.name, error=error.detail)
             except Exception:
-                log.exception("lease work failed", lease=duty.lease.name)
+                log.exception("lease work failed", lease=task.lease.name)
 
-    def _round(self, duty: Duty) -> None:
+    def _run_once(self, task: LeaseTask) -> None:
         """Do one round as holder or as candidate."""
-        lease = duty.lease
+        lease = task.lease
         if self.daemon.leaving.is_set():
             if lease.held:
-                self._leave(lease)
+                self._release(lease)
             return
         if lease.unsettled:
             lease.read()
         if lease.held:
-            self._work(duty)
+            self._run_as_holder(task)
         else:
-            self._seek(duty)
+            self._run_as_candidate(task)
 
-    def _work(self, duty: Duty) -> None:
-        lease = duty.lease
+    def _run_as_holder(self, task: LeaseTask) -> None:
+        lease = task.lease
         now = time.monotonic()
-        if now - duty.read_at > READ_S:
+        if now - task.read_at > READ_INTERVAL_S:
             # A holder that was frozen finds out here that it was replaced,
             # also when it has no step to do that would fail.
             lease.read()
-            duty.read_at = now
+            task.read_at = now
         if not lease.held:
             return
-        if now - lease.seen_at > RENEW_S:
+        if now - lease.seen_at > RENEW_INTERVAL_S:
             lease.renew()
         try:
-            duty.work(lease.fencing)
+            task.work(lease.fencing)
         except LacewingdockError as error:
             if error.kind is not ErrorKind.CONFLICT:
                 raise
@@ -158,45 +158,45 @@
                     "lease lost", lease=lease.name, holder=lease.record.holder
                 )
 
-    def _seek(self, duty: Duty) -> None:
+    def _run_as_candidate(self, task: LeaseTask) -> None:
         """Take the lease if its holder is gone and this entry is next."""
-        lease = duty.lease
-        rank = self._rank(duty)
+        lease = task.lease
+        rank = self._own_rank(task)
         if rank is None:
-            duty.probes = 0
+            task.probes = 0
             return
         now = time.monotonic()
-        if now - duty.read_at > READ_S:
+        if now - task.read_at > READ_INTERVAL_S:
             lease.read()
-            duty.read_at = now
-        if self._alive(lease):
-            duty.probes = 0
+            task.read_at = now
+        if self._is_holder_alive(lease):
+            task.probes = 0
             return
-        duty.probes += 1
+        task.probes += 1
         needed = FAILED_PROBES if lease.record.holder else 1
-        if duty.probes >= needed + rank * PATIENCE:
-            self._take(duty)
+        if task.probes >= needed + rank * PROBES_PER_RANK:
+            self._acquire(task)
 
-    def _rank(self, duty: Duty) -> int | None:
+    def _own_rank(self, task: LeaseTask) -> int | None:
         """Place of this entry among the candidates; None if it is none."""
         me = self.daemon.me.instance
         instances = self.membership.instances
-        holder = duty.lease.record.holder
+        holder = task.lease.record.holder
         # A holder that was restarted under its name is a candidate again:
         # in a deployment of one entry nobody else could take over.
         holder = holder if holder != me else ""
-        known, known_holder = duty.ranked_from
-        if known is not instances or known_holder != holder:
-            duty.ranked_from = (instances, holder)
-            duty.ranked = rank_candidates(duty.lease.name, instances, holder)
-        return duty.ranked.index(me) if me in duty.ranked else None
+        ranked_instances, ranked_holder = task.ranked_from
+        if ranked_instances is not instances or ranked_holder != holder:
+            task.ranked_from = (instances, holder)
+            task.ranked = rank_candidates(task.lease.name, instances, holder)
+        return task.ranked.index(me) if me in task.ranked else None
 
-    def _alive(self, lease: Lease) -> bool:
+    def _is_holder_alive(self, lease: Lease) -> bool:
         """Probe the holder by a handshake on its link port."""
         record = lease.record
         if not record.holder:
             return False
-        if time.monotonic() - lease.seen_at > STALE_S:
+        if time.monotonic() - lease.seen_at > RENEWAL_STALE_S:
             # It answers probes and has long not renewed: it can't reach the
             # platform, and nothing under this lease would move.
             return False
@@ -211,28 +211,28 @@
             return False
         return peer.incarnation == record.incarnation
 
-    def _take(self, duty: Duty) -> None:
-        lease = duty.lease
+    def _acquire(self, task: LeaseTask) -> None:
+        lease = task.lease
         before = lease.revision
         lease.read()
         if lease.revision != before:
             # Someone else moved first; probe that one.
-            duty.probes = 0
+            task.probes = 0
             return
         lease.take()
-        duty.probes = 0
+        task.probes = 0
         log.info("lease taken", lease=lease.name, fencing=lease.fencing)
 
-    def _leave(self, lease: Lease) -> None:
+    def _release(self, lease: Lease) -> None:
         with contextlib.suppress(LacewingdockError):
             lease.leave()
         lease.held = False
 
     def unload(self) -> None:
         """Leave every lease, so that others need not find out."""
-        for duty in self.duties.values():
-            if duty.lease.held:
-                self._leave(duty.lease)
+        for task in self.tasks.values():
+            if task.lease.held:
+                self._release(task.lease)
 
 
 def setup(daemon: Daemon, peers: Peers, membership: Membership) -> Leases:
--- a/lacewingdock/components/leases/candidates.py
+++ b/lacewingdock/components/leases/candidates.py
@@ -3,7 +3,7 @@
 import hashlib
 from collections.abc import Iterable
 
-from lacewingdock.components.leases.const import CANDIDATES
+from lacewingdock.components.leases.const import MAX_CANDIDATES
 from lacewingdock.const import ROLE_ENTRY
 from lacewingdock.world.objects import Instance
 
@@ -35,7 +35,7 @@
     rest: list[str] = []
     domains: set[str] = set()
     for instance in ranked:
-        fresh = instance.failure_domain not in domains
+        is_new_domain = instance.failure_domain not in domains
         domains.add(instance.failure_domain)
-        (first if fresh else rest).append(instance.name)
-    return (first + rest)[:CANDIDATES]
+        (first if is_new_domain else rest).append(instance.name)
+    return (first + rest)[:MAX_CANDIDATES]
--- a/lacewingdock/components/leases/lease.py
+++ b/lacewingdock/components/leases/lease.py
@@ -100,7 +100,7 @@
             LacewingdockError: PLATFORM_UNAVAILABLE.
         """
         stored = self.store.get(COLLECTION_LEASES, self.name, "lease-read")
-        self._see(stored, decode_lease(stored))
+        self._apply(stored, decode_lease(stored))
         self.unsettled = False
 
     def take(self) -> None:
@@ -143,9 +143,9 @@
             # Only reading back tells.
             self.unsettled = True
             raise
-        self._see(stored, record)
+        self._apply(stored, record)
 
-    def _see(self, stored: Stored, record: LeaseRecord) -> None:
+    def _apply(self, stored: Stored, record: LeaseRecord) -> None:
         if stored.revision < self.revision:
             return
         if stored.revision > self.revision:
--- a/lacewingdock/components/orders/__init__.py
+++ b/lacewingdock/components/orders/__init__.py
@@ -9,7 +9,7 @@
     ORDER_TIMEOUT_S,
     STATE_STOPPING,
 )
-from lacewingdock.components.orders.door import HttpDoor
+from lacewingdock.components.orders.engine_client import HttpEngineClient
 from lacewingdock.components.orders.gate import OrderGate
 from lacewingdock.components.peers import Peers
 from lacewingdock.core import Daemon
@@ -43,15 +43,15 @@
         peers.handle(Order, self._on_order)
 
     def _on_order(self, link: Link, order: Order) -> None:
-        self.daemon.spawn(self._answer, link, order)
+        self.daemon.spawn(self._handle_order, link, order)
 
-    def _answer(self, link: Link, order: Order) -> None:
+    def _handle_order(self, link: Link, order: Order) -> None:
         if order.action == ACTION_STOP:
             answer = self._stop(order)
         elif self.gate is not None:
-            answer = self.gate.take(order)
+            answer = self.gate.execute(order)
         else:
-            answer = _refused(
+            answer = _refusal(
                 order, ErrorKind.BAD_REQUEST, "there is no engine here"
             )
         log.info(
@@ -68,7 +68,7 @@
     def _stop(self, order: Order) -> Ordered:
         """Stop gracefully, unless the order means an earlier process."""
         if order.incarnation != self.daemon.me.incarnation:
-            return _refused(
+            return _refusal(
                 order, ErrorKind.CONFLICT, "the process was replaced since"
             )
         self.daemon.leaving.set()
@@ -78,7 +78,7 @@
         """Nothing is held beyond the daemon's tasks."""
 
 
-def _refused(order: Order, kind: ErrorKind, detail: str) -> Ordered:
+def _refusal(order: Order, kind: ErrorKind, detail: str) -> Ordered:
     return Ordered(order.order, "", str(kind), detail)
 
 
@@ -126,7 +126,7 @@
         peers: Its links.
         engine: The model engine beside it, if there is one.
     """
-    gate = OrderGate(daemon.store, HttpDoor(engine)) if engine else None
+    gate = OrderGate(daemon.store, HttpEngineClient(engine)) if engine else None
     orders = Orders(daemon, peers, gate)
     daemon.add(NAME, orders)
     return orders
--- a/lacewingdock/components/orders/door.py
+++ b/lacewingdock/components/orders/engine_client.py
@@ -25,7 +25,7 @@
     error: str = ""
 
 
-class HttpDoor:
+class HttpEngineClient:
     """The engine beside a sidecar, ordered over HTTP.
 
     Attributes:
@@ -38,13 +38,13 @@
         """Take the engine."""
         self.engine = engine
 
-    def retire(self, version: str) -> int:
+    def drain(self, version: str) -> int:
         """Give a version no new work; return its requests running."""
-        return self.engine.retire(version)
+        return self.engine.drain(version)
 
-    def revive(self, version: str) -> None:
+    def undrain(self, version: str) -> None:
         """Let a version take work again."""
-        self.engine.revive(version)
+        self.engine.undrain(version)
 
     def submit(self, order: Order) -> str:
         """Hand an order to the engine and return what came of it.
--- a/lacewingdock/components/orders/gate.py
+++ b/lacewingdock/components/orders/gate.py
@@ -19,16 +19,16 @@
 from lacewingdock.links.messages import Order, Ordered
 
 
-class EngineDoor(Protocol):
+class EngineClient(Protocol):
     """What the gate needs of the engine behind it."""
 
     def submit(self, order: Order) -> str:
         """Hand an order to the engine and return what came of it."""
 
-    def retire(self, version: str) -> int:
+    def drain(self, version: str) -> int:
         """Give a version no new work; return its requests running."""
 
-    def revive(self, version: str) -> None:
+    def undrain(self, version: str) -> None:
         """Let a version take work again."""
 
 
@@ -51,45 +51,45 @@
         highest: Highest fencing number seen, to refuse without a read.
     """
 
-    __slots__ = ("_clock", "_lock", "door", "highest", "store")
+    __slots__ = ("_clock", "_lock", "engine", "highest", "store")
 
     def __init__(
         self,
         store: LeaseStore,
-        door: EngineDoor,
+        engine: EngineClient,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         """Guard an engine."""
         self.store = store
-        self.door = door
+        self.engine = engine
         self.highest = 0
         self._clock = clock
         # One order at a time: an order checked earlier must not reach the
         # engine after one of a later holder.
         self._lock = threading.Lock()
 
-    def take(self, order: Order) -> Ordered:
+    def execute(self, order: Order) -> Ordered:
         """Check an order, hand it on and say what came of it."""
         with self._lock:
             try:
-                return Ordered(order.order, self._carry_out(order))
+                return Ordered(order.order, self._execute(order))
             except LacewingdockError as error:
                 return Ordered(order.order, "", str(error.kind), error.detail)
 
-    def _carry_out(self, order: Order) -> str:
+    def _execute(self, order: Order) -> str:
         if order.action not in ENGINE_ACTIONS:
             raise LacewingdockError(
                 ErrorKind.BAD_REQUEST, f"no such action: {order.action!r}"
             )
         checked_at = self._check(order)
-        if order.action == ACTION_UNLOAD and self.door.retire(order.version):
+        if order.action == ACTION_UNLOAD and self.engine.drain(order.version):
             # Unloading now would cut streams; the holder orders it again.
             return STATE_BUSY
         while self._clock() - checked_at > CHECK_AGE_S:
             checked_at = self._check(order)
         if order.action == ACTION_LOAD:
-            self.door.revive(order.version)
-        return self.door.submit(order)
+            self.engine.undrain(order.version)
+        return self.engine.submit(order)
 
     def _check(self, order: Order) -> float:
         """Refuse an order that is not the present holder's.
@@ -97,7 +97,7 @@
         Returns:
             The time before the lease was read.
         """
-        before = self._clock()
+        started_at = self._clock()
         if order.fencing >= self.highest:
             stored = self.store.get(
                 COLLECTION_LEASES, LEASE_ROLLOUTS, "order-fencing"
@@ -109,4 +109,4 @@
                 f"fencing number {order.fencing}, the lease is at "
                 f"{self.highest}",
             )
-        return before
+        return started_at
--- a/lacewingdock/components/peers/__init__.py
+++ b/lacewingdock/components/peers/__init__.py
@@ -31,8 +31,8 @@
 ACCEPT_POLL_S: Final = 0.5
 BACKLOG: Final = 512
 # How long a stop waits for its peers to have read all that was sent.
-FAREWELL_S: Final = 1.0
-FAREWELL_POLL_S: Final = 0.01
+DRAIN_TIMEOUT_S: Final = 1.0
+DRAIN_POLL_S: Final = 0.01
 
 log = get_logger(NAME)
 
@@ -80,9 +80,9 @@
             raise listen_error(f"{address[0]}:{address[1]}", error) from error
         self.listener.settimeout(ACCEPT_POLL_S)
         self.port: int = self.listener.getsockname()[1]
-        self._show_metrics()
+        self._register_metrics()
 
-    def _show_metrics(self) -> None:
+    def _register_metrics(self) -> None:
         registry = self.daemon.metrics
         links = prometheus_client.Gauge(
             "lacewingdock_links", "Open links", registry=registry
@@ -96,9 +96,11 @@
             registry=registry,
         )
         for name in names:
-            traffic.labels(name).set_function(partial(self._traffic_of, name))
+            traffic.labels(name).set_function(
+                partial(self._traffic_total, name)
+            )
 
-    def _traffic_of(self, name: str) -> float:
+    def _traffic_total(self, name: str) -> float:
         return float(getattr(self.traffic(), name))
 
     def handle(self, cls: type, handler: Callable[[Link, Any], None]) -> None:
@@ -107,7 +109,7 @@
 
     def start(self) -> None:
         """Start accepting and beating."""
-        self.daemon.spawn(self._accept_all)
+        self.daemon.spawn(self._accept_links)
         self.daemon.every(BEAT_BUSY_S, self.send_beats)
 
     def dial_and_read(self, address: str) -> None:
@@ -118,10 +120,10 @@
             OSError: The connection failed or the time ran out.
         """
         link = dial(address, self.daemon.me, self.daemon.keys)
-        self._open(link)
-        self._read(link)
+        self._register_link(link)
+        self._dispatch_messages(link)
 
-    def _accept_all(self) -> None:
+    def _accept_links(self) -> None:
         while not self.daemon.stopping.is_set():
             try:
                 sock, _ = self.listener.accept()
@@ -131,9 +133,9 @@
                 if self.daemon.stopping.is_set():
                     return
                 raise
-            self.daemon.spawn(self._serve, sock)
+            self.daemon.spawn(self._serve_connection, sock)
 
-    def _serve(self, sock: socket.socket) -> None:
+    def _serve_connection(self, sock: socket.socket) -> None:
         """Shake hands with one peer, then read its link."""
         try:
             link = accept(sock, self.daemon.me, self.daemon.keys)
@@ -145,16 +147,16 @@
             log.debug("probed")
             sock.close()
             return
-        self._open(link)
-        self._read(link)
+        self._register_link(link)
+        self._dispatch_messages(link)
 
-    def _open(self, link: Link) -> None:
+    def _register_link(self, link: Link) -> None:
         link.spawn = self.daemon.spawn
         self.links.add(link)
         for callback in self.on_open:
             callback(link)
 
-    def _read(self, link: Link) -> None:
+    def _dispatch_messages(self, link: Link) -> None:
         """Hand on what a link brings until it closes."""
         try:
             for message in link.receive():
@@ -192,16 +194,16 @@
             limit = SILENCE_S if busy and not answers else SILENCE_IDLE_S
             if link.silent_s(now) > limit:
                 link.close("silent")
-            elif self._is_due(link, now, due):
-                frame = frame or self._beat_frame()
+            elif self._is_beat_due(link, now, due):
+                frame = frame or self._encode_beat()
                 link.beat(frame)
 
-    def _beat_frame(self) -> bytes:
+    def _encode_beat(self) -> bytes:
         beat = self.beat()
         beat.sent_ms = stamp_ms()
         return encode(beat)
 
-    def _is_due(self, link: Link, now: float, due: float) -> bool:
+    def _is_beat_due(self, link: Link, now: float, due: float) -> bool:
         """Tell whether a link needs a beat.
 
         Anything sent shows life, but only a beat shows the revision and the
@@ -230,9 +232,9 @@
             self.listener.close()
         for link in tuple(self.links):
             link.end()
-        end = time.monotonic() + FAREWELL_S
+        end = time.monotonic() + DRAIN_TIMEOUT_S
         while self.links and time.monotonic() < end:
-            time.sleep(FAREWELL_POLL_S)
+            time.sleep(DRAIN_POLL_S)
         for link in tuple(self.links):
             link.close("stopped")
 
--- a/tests/components/orders/test_gate.py
+++ b/tests/components/orders/test_gate.py
@@ -26,15 +26,15 @@
         self.orders.append(order)
         return "done"
 
-    def retire(self, version):
+    def drain(self, version):
         self.serving.discard(version)
         return self.running
 
-    def revive(self, version):
+    def undrain(self, version):
         self.serving.add(version)
 
 
-def holder(store, name):
+def acquire_lease(store, name):
     lease = Lease(LEASE_ROLLOUTS, store, LeaseRecord(holder=name))
     lease.me.incarnation = f"{name}-1"
     lease.read()
@@ -59,15 +59,15 @@
     """
     store, engine = FakeStore(), FakeEngine()
     gate = OrderGate(store, engine)
-    first = holder(store, "a")
-    assert gate.take(load(first.fencing)).state == "done"
-    second = holder(store, "b")
+    first = acquire_lease(store, "a")
+    assert gate.execute(load(first.fencing)).state == "done"
+    second = acquire_lease(store, "b")
     if seen:
-        gate.take(load(second.fencing, "unload"))
+        gate.execute(load(second.fencing, "unload"))
     if replaced:
         gate = OrderGate(store, engine)
     before = len(engine.orders)
-    assert gate.take(load(first.fencing)).code == "fenced"
+    assert gate.execute(load(first.fencing)).code == "fenced"
     assert len(engine.orders) == before
 
 
@@ -77,18 +77,18 @@
     Symptom, events, cause: as above, with the sidecar frozen too.
     """
     store, engine = FakeStore(), FakeEngine()
-    first = holder(store, "a")
+    first = acquire_lease(store, "a")
     times = itertools.chain([0.0], itertools.repeat(9.0))
 
     def clock():
         now = next(times)
         if now == 9.0 and not store.calls.get("taken"):
             store.calls["taken"] = 1
-            holder(store, "b")
+            acquire_lease(store, "b")
         return now
 
     gate = OrderGate(store, engine, clock)
-    assert gate.take(load(first.fencing)).code == "fenced"
+    assert gate.execute(load(first.fencing)).code == "fenced"
     assert engine.orders == []
 
 
@@ -103,25 +103,25 @@
 )
 def test_refusals(order, down, code):
     store, engine = FakeStore(), FakeEngine()
-    holder(store, "a")
+    acquire_lease(store, "a")
     store.down = down
-    assert OrderGate(store, engine).take(order).code == code
+    assert OrderGate(store, engine).execute(order).code == code
     assert engine.orders == []
 
 
 def test_nobody_orders_without_a_lease():
     engine = FakeEngine()
-    assert OrderGate(FakeStore(), engine).take(load(0)).code == "fenced"
+    assert OrderGate(FakeStore(), engine).execute(load(0)).code == "fenced"
 
 
 def test_unload_waits_for_running_requests():
     store, engine = FakeStore(), FakeEngine(running=1)
-    fencing = holder(store, "a").fencing
+    fencing = acquire_lease(store, "a").fencing
     gate = OrderGate(store, engine)
-    assert gate.take(load(fencing, "unload")).state == "busy"
+    assert gate.execute(load(fencing, "unload")).state == "busy"
     assert (engine.orders, engine.serving) == ([], set())
     engine.running = 0
-    assert gate.take(load(fencing, "unload")).state == "done"
+    assert gate.execute(load(fencing, "unload")).state == "done"
 
 
 @given(
@@ -138,12 +138,12 @@
         store.down = event == "outage"
         match event:
             case "take":
-                leases.append(holder(store, f"e{len(leases)}"))
+                leases.append(acquire_lease(store, f"e{len(leases)}"))
             case "replace":
                 gate = OrderGate(store, engine)
             case "order" | "outage" if leases:
-                gate.take(load(leases[-1].fencing))
+                gate.execute(load(leases[-1].fencing))
             case "old order" if leases:
-                gate.take(load(leases[0].fencing))
+                gate.execute(load(leases[0].fencing))
     numbers = [order.fencing for order in engine.orders]
     assert numbers == sorted(numbers)
--- a/tests/components/peers/test_peers.py
+++ b/tests/components/peers/test_peers.py
@@ -17,7 +17,7 @@
 from tests.fakes import FakeClock
 
 
-class PacedLink:
+class RecordingLink:
     """A link that notes when it was beaten and closed."""
 
     silent_s = Link.silent_s
@@ -45,7 +45,7 @@
             self.silent_at = self.clock.now
 
 
-def paced(monkeypatch, role, busy, seconds, hears, sends=False):
+def run_beats(monkeypatch, role, busy, seconds, receives, sends=False):
     clock = FakeClock()
     monkeypatch.setattr(peers, "time", clock)
     daemon = SimpleNamespace(
@@ -54,12 +54,12 @@
         metrics=prometheus_client.CollectorRegistry(),
     )
     links = peers.Peers(daemon)
-    link = PacedLink(clock, busy)
+    link = RecordingLink(clock, busy)
     links.links.add(link)
     start = clock.now
     for _ in range(int(seconds / 0.2)):
         clock.now += 0.2
-        if hears:
+        if receives:
             link.last_heard = clock.now
         if sends:
             link.last_sent = clock.now
@@ -80,7 +80,7 @@
     ],
 )
 def test_only_the_side_that_answers_beats_often(monkeypatch, role, busy, beats):
-    assert paced(monkeypatch, role, busy, 10.0, True) == (beats, None)
+    assert run_beats(monkeypatch, role, busy, 10.0, True) == (beats, None)
 
 
 @pytest.mark.parametrize("role", ["entry", "sidecar"])
@@ -93,7 +93,7 @@
     Cause: a beat was due only after a pause in sending, and the beat is what
     shows the revision.
     """
-    beats, _ = paced(monkeypatch, role, 0, 20.0, True, sends=True)
+    beats, _ = run_beats(monkeypatch, role, 0, 20.0, True, sends=True)
     assert beats >= 3
 
 
@@ -102,7 +102,7 @@
     [("entry", 1, 0.7, 1.0), ("entry", 0, 16, 17), ("sidecar", 1, 16, 17)],
 )
 def test_silent_link_is_given_up(monkeypatch, role, busy, low, high):
-    _, silent = paced(monkeypatch, role, busy, 20.0, False)
+    _, silent = run_beats(monkeypatch, role, busy, 20.0, False)
     assert low <= silent <= high
 
 
@@ -129,7 +129,7 @@
     other = replace(me, instance="other")
     with logbook.TestHandler() as handler, ThreadPoolExecutor(1) as pool:
         probing = pool.submit(probe, address, other, keys, 2.0)
-        links._serve(links.listener.accept()[0])
+        links._serve_connection(links.listener.accept()[0])
         assert probing.result().incarnation == "first"
     links.listener.close()
     assert not opened
