--- a/lacewingdock/components/engine/__init__.py
+++ b/lacewingdock/components/engine/__init__.py
@@ -1,4 +1,4 @@
-"""Support for knowing what the upstream beside a sidecar has loaded."""
+"""Support for polling the state of the upstream beside a sidecar."""
 
 from typing import Final
 
@@ -11,6 +11,8 @@
 from lacewingdock.helpers.log import get_logger
 
 NAME: Final = "engine"
+# Seconds between polls of the upstream, and the consecutive failed polls after
+# which it counts as down.
 POLL_INTERVAL_S: Final = 0.5
 FAILURES_UNTIL_DOWN: Final = 2
 
@@ -18,20 +20,20 @@
 
 
 class Engine:
-    """The upstream beside this sidecar, asked for its state regularly.
+    """Monitor of the upstream beside this sidecar.
 
     Attributes:
-        url: Where the upstream answers.
-        runs: Told of what is served.
-        service: Name of the plain service; empty beside an engine.
-        failures: Failed polls in a row.
-        retired: Versions about to be unloaded, which take no new work.
+        url: URL of the upstream.
+        runs: Updated with the targets that the upstream serves.
+        service: Name of the plain service; empty for a model engine.
+        failures: Consecutive failed polls.
+        draining: Versions about to be unloaded, which get no new requests.
     """
 
     __slots__ = ("draining", "failures", "runs", "service", "url")
 
     def __init__(self, url: str, runs: Runs, service: str) -> None:
-        """Take the upstream's URL."""
+        """Build a monitor of the upstream at a URL; `setup` starts it."""
         self.url = url
         self.runs = runs
         self.service = service
@@ -39,7 +41,10 @@
         self.draining: set[str] = set()
 
     def poll(self) -> None:
-        """Ask once; an upstream that doesn't answer serves nothing."""
+        """Poll the upstream once and update its targets and incarnation.
+
+        After `FAILURES_UNTIL_DOWN` failures in a row it serves no targets.
+        """
         try:
             report = ask_upstream(self.url)
         except (pycurl.error, msgspec.DecodeError) as error:
@@ -49,7 +54,8 @@
                 self.runs.set_targets([])
             return
         self.failures = 0
-        # Once it is gone it may be loaded again by whoever starts the engine.
+        # A version that was unloaded may be loaded again by a restart of the
+        # engine, so it stops counting as draining.
         self.draining &= set(report.versions)
         self.runs.crashes.seen(report.incarnation)
         served = (
@@ -57,12 +63,12 @@
             if self.service
             else sorted(set(report.versions) - self.draining)
         )
-        # The platform's list lags; the upstream knows first that it leaves.
-        # What runs on it goes on.
+        # The upstream knows before the platform's list that it is leaving.
+        # Its running requests continue.
         self.runs.set_targets([] if report.leaving else served)
 
     def drain(self, version: str) -> int:
-        """Give a version no new work here.
+        """Stop sending new requests to a version of this upstream.
 
         Returns:
             The number of its requests that have not ended.
@@ -75,15 +81,15 @@
         )
 
     def undrain(self, version: str) -> None:
-        """Let a version take work again once it is loaded."""
+        """Allow new requests to a version again once it is loaded."""
         self.draining.discard(version)
 
     def unload(self) -> None:
-        """Nothing is held beyond the daemon's tasks."""
+        """Do nothing: the daemon stops the polling task."""
 
 
 def setup(daemon: Daemon, url: str, runs: Runs, service: str) -> Engine:
-    """Set the engine's watcher up and start it."""
+    """Set up the monitor of the upstream and start polling."""
     engine = Engine(url, runs, service)
     daemon.add(NAME, engine)
     daemon.every(POLL_INTERVAL_S, engine.poll)
--- a/lacewingdock/components/leases/__init__.py
+++ b/lacewingdock/components/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Support for leases of controllers, which any entry may hold."""
+"""Support for leader election of controllers by leases in the platform."""
 
 import contextlib
 import time
@@ -35,18 +35,19 @@
 
 @dataclass(slots=True)
 class LeaseTask:
-    """A lease that this entry may hold, and what its holder does.
+    """A lease that this entry may hold, and the work of its holder.
 
     Attributes:
         lease: The lease.
-        work: Called again and again by the holder with the fencing number.
-            Each of its steps is a conditional update or carries the number.
-        probes: Failed probes of the holder in a row.
-        read_at: Monotonic time of the last read.
-        ranked: The candidates as last ranked.
-        ranked_from: The instance list and the holder that they were ranked
-            from; ranking thousands each second would cost more than all
-            else that a lease does.
+        work: Called periodically with the fencing number while this entry
+            holds the lease. Each step of the work is a conditional update or
+            carries the fencing number.
+        probes: Consecutive failed probes of the holder.
+        read_at: Monotonic time of the last read of the lease.
+        ranked: Names of the candidates from the last ranking.
+        ranked_from: The instance list and the holder behind `ranked`. The
+            ranking is cached because ranking thousands of instances every
+            second would cost more than all other work of a lease.
     """
 
     lease: Lease
@@ -60,13 +61,13 @@
 
 
 class Leases:
-    """The leases that this entry holds or would take over.
+    """The leases that this entry holds or is a candidate for.
 
     Attributes:
         daemon: The daemon.
-        peers: Links; their port is where candidates probe this holder.
-        membership: Knows the live entries.
-        duties: The duties by lease name.
+        peers: Links to peers; candidates probe a holder on its link port.
+        membership: Source of the list of live entries.
+        tasks: The lease tasks by lease name.
     """
 
     __slots__ = ("daemon", "membership", "peers", "tasks")
@@ -74,7 +75,7 @@
     def __init__(
         self, daemon: Daemon, peers: Peers, membership: Membership
     ) -> None:
-        """Start without leases."""
+        """Build an empty set of leases and register its metric."""
         self.daemon = daemon
         self.peers = peers
         self.membership = membership
@@ -89,7 +90,15 @@
         )
 
     def add(self, name: str, work: Callable[[int], None]) -> Lease:
-        """Let this entry be a candidate for a lease; before `start`."""
+        """Make this entry a candidate for a lease.
+
+        Must be called before `start`.
+
+        Args:
+            name: Name of the lease.
+            work: Called periodically with the fencing number while this
+                entry holds the lease.
+        """
         me = self.daemon.me
         record = LeaseRecord(
             holder=me.instance,
@@ -101,7 +110,7 @@
         return lease
 
     def start(self) -> None:
-        """Start one task for each lease."""
+        """Start a background task for each lease."""
         for task in self.tasks.values():
             self.daemon.spawn(self._run, task)
 
@@ -120,7 +129,7 @@
                 log.exception("lease work failed", lease=task.lease.name)
 
     def _run_once(self, task: LeaseTask) -> None:
-        """Do one round as holder or as candidate."""
+        """Run one iteration as the holder or as a candidate."""
         lease = task.lease
         if self.daemon.leaving.is_set():
             if lease.held:
@@ -137,8 +146,8 @@
         lease = task.lease
         now = time.monotonic()
         if now - task.read_at > READ_INTERVAL_S:
-            # A holder that was frozen finds out here that it was replaced,
-            # also when it has no step to do that would fail.
+            # A holder that was frozen detects here that it was replaced, even
+            # if it has no conditional update pending that would fail.
             lease.read()
             task.read_at = now
         if not lease.held:
@@ -150,8 +159,9 @@
         except LacewingdockError as error:
             if error.kind is not ErrorKind.CONFLICT:
                 raise
-            # Another wrote what this step was based on: an operator, or a
-            # new holder while this one was frozen. The lease tells which.
+            # Another writer changed the object that this step was based on:
+            # an operator, or a new holder while this one was frozen. Reading
+            # the lease shows which of the two.
             lease.read()
             if not lease.held:
                 log.warning(
@@ -159,7 +169,7 @@
                 )
 
     def _run_as_candidate(self, task: LeaseTask) -> None:
-        """Take the lease if its holder is gone and this entry is next."""
+        """Acquire the lease if its holder is down and this entry is next."""
         lease = task.lease
         rank = self._own_rank(task)
         if rank is None:
@@ -178,12 +188,12 @@
             self._acquire(task)
 
     def _own_rank(self, task: LeaseTask) -> int | None:
-        """Place of this entry among the candidates; None if it is none."""
+        """Return this entry's rank; None if it is not a candidate."""
         me = self.daemon.me.instance
         instances = self.membership.instances
         holder = task.lease.record.holder
-        # A holder that was restarted under its name is a candidate again:
-        # in a deployment of one entry nobody else could take over.
+        # A holder that was restarted under the same name is a candidate
+        # again: with a single entry nobody else could acquire the lease.
         holder = holder if holder != me else ""
         ranked_instances, ranked_holder = task.ranked_from
         if ranked_instances is not instances or ranked_holder != holder:
@@ -192,13 +202,14 @@
         return task.ranked.index(me) if me in task.ranked else None
 
     def _is_holder_alive(self, lease: Lease) -> bool:
-        """Probe the holder by a handshake on its link port."""
+        """Probe the holder with a handshake on its link port."""
         record = lease.record
         if not record.holder:
             return False
         if time.monotonic() - lease.seen_at > RENEWAL_STALE_S:
-            # It answers probes and has long not renewed: it can't reach the
-            # platform, and nothing under this lease would move.
+            # The holder may still answer probes, but without a renewal for
+            # this long it can't reach the platform, and no work under this
+            # lease would make progress.
             return False
         try:
             peer = probe(
@@ -216,12 +227,13 @@
         before = lease.revision
         lease.read()
         if lease.revision != before:
-            # Someone else moved first; probe that one.
+            # The lease was acquired or renewed by another process meanwhile;
+            # start over and probe that holder.
             task.probes = 0
             return
         lease.take()
         task.probes = 0
-        log.info("lease taken", lease=lease.name, fencing=lease.fencing)
+        log.info("lease acquired", lease=lease.name, fencing=lease.fencing)
 
     def _release(self, lease: Lease) -> None:
         with contextlib.suppress(LacewingdockError):
@@ -229,14 +241,14 @@
         lease.held = False
 
     def unload(self) -> None:
-        """Leave every lease, so that others need not find out."""
+        """Release all held leases, so that candidates need no failed probes."""
         for task in self.tasks.values():
             if task.lease.held:
                 self._release(task.lease)
 
 
 def setup(daemon: Daemon, peers: Peers, membership: Membership) -> Leases:
-    """Set the leases up."""
+    """Set up the leases and add them to the daemon."""
     leases = Leases(daemon, peers, membership)
     daemon.add(NAME, leases)
     return leases
--- a/lacewingdock/components/leases/candidates.py
+++ b/lacewingdock/components/leases/candidates.py
@@ -1,4 +1,4 @@
-"""Support for spreading leases over the entries."""
+"""Support for distributing leases over the entries."""
 
 import hashlib
 from collections.abc import Iterable
@@ -11,17 +11,19 @@
 def rank_candidates(
     lease: str, instances: Iterable[Instance], holder: str
 ) -> list[str]:
-    """Return the entries that look after a lease, the best one first.
+    """Return the names of the candidates for a lease, best rank first.
 
-    Rendezvous hashing: all rank alike without talking, each lease has
-    another order, and one entry that comes or goes moves few leases. The
-    candidates stand in different failure domains where there are enough, so
-    that the loss of one domain leaves a taker.
+    Uses rendezvous hashing: all entries compute the same ranking without
+    communication, each lease has a different order, and an entry that joins
+    or leaves moves few leases. The candidates are in different failure
+    domains where there are enough of them, so that the loss of one domain
+    leaves a candidate to take over.
 
     Args:
         lease: Name of the lease.
-        instances: The platform's list.
-        holder: The holder, which can't succeed itself.
+        instances: The instance list of the platform.
+        holder: Name of the current holder, which is left out because it
+            can't succeed itself.
     """
     ranked = sorted(
         (
--- a/lacewingdock/components/leases/const.py
+++ b/lacewingdock/components/leases/const.py
@@ -1,28 +1,32 @@
-"""Constants of the leases."""
+"""Constants for the leases component."""
 
 from typing import Final
 
 NAME: Final = "leases"
 
-# A candidate probes the holder this often and takes over after this many
-# failures in a row, so that a dead holder is replaced within seconds.
+# Interval and timeout in seconds of a candidate's probes of the holder, and
+# the consecutive failures after which it takes over. A dead holder is thus
+# replaced within seconds.
 PROBE_INTERVAL_S: Final = 1.0
 PROBE_TIMEOUT_S: Final = 0.7
 FAILED_PROBES: Final = 2
-# A candidate of rank r leaves the better ones this many more probes each.
+# Additional failed probes that a candidate waits for per rank, so that
+# better-ranked candidates take over first.
 PROBES_PER_RANK: Final = 2
-# Entries that look after a lease; the others leave it alone, since reads by
-# all of them would grow with the fleet.
+# Number of entries that are candidates for a lease. The others don't read it,
+# since the load on the platform would grow with the fleet.
 MAX_CANDIDATES: Final = 3
-# The lease is read this often; what is decided on it is a conditional update.
+# Seconds between reads of the lease. A stale read is safe, because every
+# decision based on it is a conditional update.
 READ_INTERVAL_S: Final = 3.0
-# Probes show that the holder runs; a renewal shows that it reaches the
-# platform, without which it can do no step.
+# Seconds between renewals by the holder, and seconds without a renewal after
+# which candidates treat the holder as down. A probe only shows that the holder
+# runs; a renewal shows that it reaches the platform, which its work requires.
 RENEW_INTERVAL_S: Final = 30.0
 RENEWAL_STALE_S: Final = 100.0
-# How often a holder does its work.
+# Seconds between calls of the work function by the holder.
 WORK_INTERVAL_S: Final = 1.0
 
-# The lease whose holder runs roll-outs and orders engines. An engine compares
-# one number, so all orders to engines come under one lease.
+# The lease whose holder runs roll-outs and sends orders to engines. An engine
+# compares a single fencing number, so all orders use the same lease.
 LEASE_ROLLOUTS: Final = "rollouts"
--- a/lacewingdock/components/leases/lease.py
+++ b/lacewingdock/components/leases/lease.py
@@ -1,4 +1,4 @@
-"""Support for one lease: an object with a holder and a fencing number."""
+"""Support for a lease: an object with a holder and a fencing number."""
 
 import time
 from dataclasses import dataclass, replace
@@ -13,14 +13,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class LeaseRecord:
-    """A lease as the platform keeps it.
+    """A lease as stored in the platform.
 
     Attributes:
-        holder: Instance that holds it; empty when it was given up.
+        holder: Name of the instance that holds the lease; empty when the
+            lease was released.
         incarnation: Incarnation of the holder's process.
         address: "IP:PORT" of the holder's link port, for probes.
-        fencing: Grows by one with each holder and never falls.
-        renewals: Renewals by this holder.
+        fencing: Fencing number; increases by one with each holder and never
+            decreases.
+        renewals: Number of renewals by this holder.
     """
 
     holder: str = ""
@@ -31,10 +33,10 @@
 
 
 class LeaseStore(Protocol):
-    """What a lease needs of the platform; `ObjectStore` has it."""
+    """The operations of `ObjectStore` that a lease uses."""
 
     def get(self, collection: str, name: str, purpose: str) -> Stored:
-        """Read an object."""
+        """Return an object with its revision."""
 
     def put(
         self,
@@ -44,26 +46,28 @@
         expect: int,
         purpose: str,
     ) -> Stored:
-        """Write an object if its revision is the expected one."""
+        """Write an object if its revision equals `expect`."""
 
 
 class Lease:
-    """A lease as one process sees it.
+    """The state of a lease in one process.
 
-    `held` is a belief: the process may have been frozen while another took
-    over. Nothing rests on it, nor on any clock: a holder's step is a
-    conditional update of an object that carries `fencing`, or an order that
-    carries it and is checked by whoever carries it out.
+    `held` may be out of date, because the process may have been frozen while
+    another took over. Correctness depends neither on `held` nor on any clock:
+    each step of a holder is a conditional update of an object that carries
+    `fencing`, or an order that carries `fencing` and is checked by its
+    receiver.
 
     Attributes:
         name: Name of the lease.
-        store: The platform.
+        store: The platform's object store.
         me: Holder, incarnation and address of this process.
-        record: The lease as last seen.
-        revision: Its revision in the platform.
-        held: Whether this process believes to hold it.
-        unsettled: Whether a write's effect is not known.
-        seen_at: Monotonic time when `revision` was first seen.
+        record: The last record read or written.
+        revision: Revision of `record` in the platform.
+        held: Whether `record` names this process as the holder.
+        unsettled: Whether the outcome of a write is unknown; `read` resolves
+            it.
+        seen_at: Monotonic time when `revision` was first observed.
     """
 
     __slots__ = (
@@ -78,7 +82,7 @@
     )
 
     def __init__(self, name: str, store: LeaseStore, me: LeaseRecord) -> None:
-        """Start without the lease."""
+        """Build a lease that is not held and has not been read yet."""
         self.name = name
         self.store = store
         self.me = me
@@ -90,11 +94,11 @@
 
     @property
     def fencing(self) -> int:
-        """The fencing number of the last holder seen."""
+        """The highest fencing number observed."""
         return self.record.fencing
 
     def read(self) -> None:
-        """Read the lease; it settles what earlier writes did.
+        """Read the lease, which resolves writes with an unknown outcome.
 
         Raises:
             LacewingdockError: PLATFORM_UNAVAILABLE.
@@ -104,30 +108,31 @@
         self.unsettled = False
 
     def take(self) -> None:
-        """Become the holder, with a fencing number above all earlier ones.
+        """Acquire the lease with a fencing number above all earlier ones.
 
-        One conditional update on what was last read: if another took the
-        lease or renewed it since, this fails.
+        A single conditional update of the last revision read: it fails if
+        another process acquired or renewed the lease since.
 
         Raises:
             LacewingdockError: CONFLICT when another write came first;
-                PLATFORM_UNAVAILABLE, settled by the next `read`.
+                PLATFORM_UNAVAILABLE when the outcome is unknown until the
+                next `read`.
         """
         self._put(replace(self.me, fencing=self.record.fencing + 1))
 
     def renew(self) -> None:
-        """Show the candidates that the holder reaches the platform.
+        """Renew the lease, which shows that the holder reaches the platform.
 
         Raises:
-            LacewingdockError: As `take`.
+            LacewingdockError: See `take`.
         """
         self._put(replace(self.record, renewals=self.record.renewals + 1))
 
     def leave(self) -> None:
-        """Give the lease up, for another to take at once.
+        """Release the lease, so that another process can acquire it at once.
 
         Raises:
-            LacewingdockError: As `take`.
+            LacewingdockError: See `take`.
         """
         self._put(LeaseRecord(fencing=self.record.fencing))
 
@@ -138,9 +143,9 @@
                 COLLECTION_LEASES, self.name, value, self.revision, "lease"
             )
         except LacewingdockError:
-            # The answer may have been lost after the write took effect, and
-            # the next write would then meet its own revision as a conflict.
-            # Only reading back tells.
+            # The response may have been lost after the write took effect. The
+            # next write would then conflict with this process's own revision,
+            # so the lease has to be read back first.
             self.unsettled = True
             raise
         self._apply(stored, record)
@@ -150,8 +155,8 @@
             return
         if stored.revision > self.revision:
             self.seen_at = time.monotonic()
-        # A store that is back from a copy has lost the last holders; a number
-        # that one of them had must not be given to another.
+        # A store that was restored from a copy has lost the latest holders.
+        # A fencing number that one of them used must not be issued again.
         fencing = max(record.fencing, self.record.fencing)
         self.revision = stored.revision
         self.record = replace(record, fencing=fencing)
@@ -162,10 +167,10 @@
 
 
 def decode_lease(stored: Stored) -> LeaseRecord:
-    """Return the lease that an object holds.
+    """Decode a stored object; an empty one is a lease without a holder.
 
     Raises:
-        LacewingdockError: INTERNAL when the object is no lease.
+        LacewingdockError: INTERNAL when the object is not a valid lease.
     """
     if not stored.value:
         return LeaseRecord()
--- a/lacewingdock/components/orders/__init__.py
+++ b/lacewingdock/components/orders/__init__.py
@@ -25,11 +25,12 @@
 
 
 class Orders:
-    """What this daemon does when it is ordered to.
+    """Handler of the orders that this daemon receives over links.
 
     Attributes:
         daemon: The daemon.
-        gate: Checks orders to the engine; None where there is no engine.
+        gate: Checks and executes orders to the engine; None where there is no
+            engine.
     """
 
     __slots__ = ("daemon", "gate")
@@ -37,7 +38,7 @@
     def __init__(
         self, daemon: Daemon, peers: Peers, gate: OrderGate | None
     ) -> None:
-        """Join the links."""
+        """Build the handler and register it for orders."""
         self.daemon = daemon
         self.gate = gate
         peers.handle(Order, self._on_order)
@@ -52,7 +53,7 @@
             answer = self.gate.execute(order)
         else:
             answer = _refusal(
-                order, ErrorKind.BAD_REQUEST, "there is no engine here"
+                order, ErrorKind.BAD_REQUEST, "this daemon has no engine"
             )
         log.info(
             "order",
@@ -66,16 +67,18 @@
         link.send(answer)
 
     def _stop(self, order: Order) -> Ordered:
-        """Stop gracefully, unless the order means an earlier process."""
+        """Start a graceful stop if the order names this incarnation."""
         if order.incarnation != self.daemon.me.incarnation:
             return _refusal(
-                order, ErrorKind.CONFLICT, "the process was replaced since"
+                order,
+                ErrorKind.CONFLICT,
+                "the order names another incarnation of this process",
             )
         self.daemon.leaving.set()
         return Ordered(order.order, STATE_STOPPING)
 
     def unload(self) -> None:
-        """Nothing is held beyond the daemon's tasks."""
+        """Do nothing: the daemon ends the tasks of this component."""
 
 
 def _refusal(order: Order, kind: ErrorKind, detail: str) -> Ordered:
@@ -83,10 +86,10 @@
 
 
 def send_order(daemon: Daemon, address: str, order: Order) -> Ordered:
-    """Send an order over a link of its own and wait for its answer.
+    """Send an order over a dedicated link and wait for the answer.
 
-    The sender keeps links to a part of the fleet only, and orders are rare;
-    sending one again is harmless, since each names a state to be in.
+    The sender keeps links to a subset of the fleet only, and orders are rare.
+    Repeating an order is harmless, since each order names a target state.
 
     Args:
         daemon: The sending daemon.
@@ -94,7 +97,7 @@
         order: The order.
 
     Raises:
-        LacewingdockError: NO_UPSTREAM when no answer came.
+        LacewingdockError: NO_UPSTREAM when no answer was received.
     """
     end = time.monotonic() + ORDER_TIMEOUT_S
     try:
@@ -114,17 +117,17 @@
     finally:
         link.dispose()
     raise LacewingdockError(
-        ErrorKind.NO_UPSTREAM, f"{address}: no answer to the order"
+        ErrorKind.NO_UPSTREAM, f"{address}: no answer to the order was received"
     )
 
 
 def setup(daemon: Daemon, peers: Peers, engine: Engine | None) -> Orders:
-    """Set the orders up.
+    """Set up the handler of orders.
 
     Args:
         daemon: The daemon.
-        peers: Its links.
-        engine: The model engine beside it, if there is one.
+        peers: The links of the daemon.
+        engine: Monitor of the model engine beside the daemon, if any.
     """
     gate = OrderGate(daemon.store, HttpEngineClient(engine)) if engine else None
     orders = Orders(daemon, peers, gate)
--- a/lacewingdock/components/orders/const.py
+++ b/lacewingdock/components/orders/const.py
@@ -1,4 +1,4 @@
-"""Constants of the orders."""
+"""Constants for the orders component."""
 
 from typing import Final
 
@@ -17,8 +17,11 @@
 STATE_STOPPING: Final = "stopping"
 STATE_UNLOADED: Final = "unloaded"
 
+# Timeout in seconds of an order's HTTP request to the engine, and of an order
+# over a link until its answer.
 ENGINE_TIMEOUT_S: Final = 2.0
 ORDER_TIMEOUT_S: Final = 6.0
-# An order that was checked longer ago than this is checked again: the sidecar
-# was frozen in between, and another holder may have taken over.
+# Age in seconds at which the fencing check of an order is repeated before the
+# order reaches the engine: the sidecar was frozen in between, and another
+# holder may have taken over.
 CHECK_AGE_S: Final = 1.0
--- a/lacewingdock/components/orders/engine_client.py
+++ b/lacewingdock/components/orders/engine_client.py
@@ -1,4 +1,4 @@
-"""Support for handing orders to a model engine."""
+"""Support for sending orders to a model engine over HTTP."""
 
 import msgspec
 import pycurl
@@ -14,11 +14,11 @@
 
 
 class EngineAnswer(msgspec.Struct):
-    """What an engine says to an order.
+    """The response of an engine to an order.
 
     Attributes:
-        state: What came of it.
-        error: Why it was refused.
+        state: Resulting state of the version.
+        error: Reason for a refusal; empty when the order was accepted.
     """
 
     state: str = ""
@@ -26,32 +26,34 @@
 
 
 class HttpEngineClient:
-    """The engine beside a sidecar, ordered over HTTP.
+    """Client that sends orders to the engine beside a sidecar.
 
     Attributes:
-        engine: The engine's watcher, which knows what is served.
+        engine: Monitor of the engine, which holds its URL and the versions
+            that are draining.
     """
 
     __slots__ = ("engine",)
 
     def __init__(self, engine: Engine) -> None:
-        """Take the engine."""
+        """Build a client for a monitored engine."""
         self.engine = engine
 
     def drain(self, version: str) -> int:
-        """Give a version no new work; return its requests running."""
+        """Stop new requests to a version; return its running requests."""
         return self.engine.drain(version)
 
     def undrain(self, version: str) -> None:
-        """Let a version take work again."""
+        """Allow new requests to a version again."""
         self.engine.undrain(version)
 
     def submit(self, order: Order) -> str:
-        """Hand an order to the engine and return what came of it.
+        """Send an order to the engine and return the resulting state.
 
         Raises:
-            LacewingdockError: FENCED when the engine compares numbers and
-                has seen a higher one; UPSTREAM_FAILED when it doesn't answer.
+            LacewingdockError: FENCED when the engine compares fencing numbers
+                and has received a higher one; UPSTREAM_FAILED when it doesn't
+                answer, or answers with another error.
         """
         body = {
             "action": order.action,
@@ -63,13 +65,16 @@
             status, answer = self._post(body)
         except (pycurl.error, msgspec.DecodeError) as error:
             raise LacewingdockError(
-                ErrorKind.UPSTREAM_FAILED, f"order not answered: {error}"
+                ErrorKind.UPSTREAM_FAILED,
+                f"engine did not answer the order: {error}",
             ) from error
         if status == _HTTP_CONFLICT:
             raise LacewingdockError(ErrorKind.FENCED, answer.error)
         if status >= 400:
             raise LacewingdockError(
-                ErrorKind.UPSTREAM_FAILED, f"status {status}: {answer.error}"
+                ErrorKind.UPSTREAM_FAILED,
+                f"engine refused the order with status {status}: "
+                f"{answer.error}",
             )
         return answer.state
 
--- a/lacewingdock/components/orders/gate.py
+++ b/lacewingdock/components/orders/gate.py
@@ -1,4 +1,4 @@
-"""Support for checking orders before they reach an engine."""
+"""Support for checking the fencing numbers of orders to an engine."""
 
 import threading
 import time
@@ -20,35 +20,36 @@
 
 
 class EngineClient(Protocol):
-    """What the gate needs of the engine behind it."""
+    """The operations of an engine that the gate uses."""
 
     def submit(self, order: Order) -> str:
-        """Hand an order to the engine and return what came of it."""
+        """Send an order to the engine and return the resulting state."""
 
     def drain(self, version: str) -> int:
-        """Give a version no new work; return its requests running."""
+        """Stop new requests to a version; return its running requests."""
 
     def undrain(self, version: str) -> None:
-        """Let a version take work again."""
+        """Allow new requests to a version again."""
 
 
 class OrderGate:
-    """Refuses the orders of earlier lease holders.
+    """Refuses orders of earlier lease holders by their fencing numbers.
 
-    What goes wrong without it: a holder is frozen, another takes over and
-    rolls back; the first thaws and its load order brings the bad version
-    back. One would notice a version on an engine that no roll-out names.
-    Some engines don't compare fencing numbers, so the gate does.
+    Without this check, a holder that was frozen while another took over and
+    rolled back would, once it resumes, load the bad version again: the engine
+    would have a version that no roll-out names. Some engines don't compare
+    fencing numbers, so the gate does.
 
-    The gate keeps no memory of its own that matters: the lease in the
-    platform is the highest number ever given out, and it is read for each
-    order. A replaced sidecar therefore refuses what its predecessor refused,
-    at no write at all.
+    The gate needs no persistent state: the lease in the platform holds the
+    highest fencing number ever issued and is read for each order. A replaced
+    sidecar therefore refuses the same orders as its predecessor, without any
+    write.
 
     Attributes:
-        store: The platform.
-        door: The engine.
-        highest: Highest fencing number seen, to refuse without a read.
+        store: The platform's object store.
+        engine: The engine that accepted orders are sent to.
+        highest: Highest fencing number observed; orders with a lower one are
+            refused without a read.
     """
 
     __slots__ = ("_clock", "_lock", "engine", "highest", "store")
@@ -59,17 +60,17 @@
         engine: EngineClient,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Guard an engine."""
+        """Build a gate in front of an engine."""
         self.store = store
         self.engine = engine
         self.highest = 0
         self._clock = clock
-        # One order at a time: an order checked earlier must not reach the
-        # engine after one of a later holder.
+        # Orders are serialized: an order that was checked earlier must not
+        # reach the engine after an order of a later holder.
         self._lock = threading.Lock()
 
     def execute(self, order: Order) -> Ordered:
-        """Check an order, hand it on and say what came of it."""
+        """Check an order, send it to the engine and return the answer."""
         with self._lock:
             try:
                 return Ordered(order.order, self._execute(order))
@@ -79,11 +80,13 @@
     def _execute(self, order: Order) -> str:
         if order.action not in ENGINE_ACTIONS:
             raise LacewingdockError(
-                ErrorKind.BAD_REQUEST, f"no such action: {order.action!r}"
+                ErrorKind.BAD_REQUEST,
+                f"unknown engine action: {order.action!r}",
             )
         checked_at = self._check(order)
         if order.action == ACTION_UNLOAD and self.engine.drain(order.version):
-            # Unloading now would cut streams; the holder orders it again.
+            # Unloading now would break running streams; the holder repeats
+            # the order later.
             return STATE_BUSY
         while self._clock() - checked_at > CHECK_AGE_S:
             checked_at = self._check(order)
@@ -92,10 +95,14 @@
         return self.engine.submit(order)
 
     def _check(self, order: Order) -> float:
-        """Refuse an order that is not the present holder's.
+        """Refuse an order that is not from the current lease holder.
 
         Returns:
-            The time before the lease was read.
+            The clock's time in seconds from before the lease was read.
+
+        Raises:
+            LacewingdockError: FENCED when the fencing number is not that of
+                the lease; PLATFORM_UNAVAILABLE when the lease can't be read.
         """
         started_at = self._clock()
         if order.fencing >= self.highest:
@@ -106,7 +113,7 @@
         if order.fencing != self.highest or order.fencing == 0:
             raise LacewingdockError(
                 ErrorKind.FENCED,
-                f"fencing number {order.fencing}, the lease is at "
+                f"order has fencing number {order.fencing}, the lease has "
                 f"{self.highest}",
             )
         return started_at
--- a/lacewingdock/components/peers/__init__.py
+++ b/lacewingdock/components/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Support for keeping links: listening, dialing, beating and giving up."""
+"""Support for links to peers: accepting, dialing, heartbeats, timeouts."""
 
 import contextlib
 import dataclasses
@@ -28,9 +28,13 @@
 from lacewingdock.links.wire import encode
 
 NAME: Final = "peers"
+# Timeout in seconds of one accept call, after which the listener checks for a
+# stop.
 ACCEPT_POLL_S: Final = 0.5
+# Listen backlog in connections.
 BACKLOG: Final = 512
-# How long a stop waits for its peers to have read all that was sent.
+# Seconds that a stop waits for the peers to read all messages sent, and the
+# interval in seconds of checking for that.
 DRAIN_TIMEOUT_S: Final = 1.0
 DRAIN_POLL_S: Final = 0.01
 
@@ -38,18 +42,18 @@
 
 
 class Peers:
-    """All links of a daemon, and who handles what comes over them.
+    """The links of a daemon and the handlers of the messages received.
 
     Attributes:
         daemon: The daemon.
         links: The open links.
-        handlers: Handlers by message class; several may take one class.
-        on_open: Called with each link once it stands.
-        on_close: Called with each link once it is gone.
-        beat: Makes the beat to send.
+        handlers: Handlers by message class; a class may have several.
+        on_open: Callbacks that get each link once it is open.
+        on_close: Callbacks that get each link once it is closed.
+        beat: Factory of the heartbeat message to send.
         listener: The listening socket.
-        port: The port listened on.
-        closed_traffic: What went over links that are closed.
+        port: Port of the listening socket.
+        closed_traffic: Traffic totals of the links that are closed.
     """
 
     __slots__ = (
@@ -65,7 +69,11 @@
     )
 
     def __init__(self, daemon: Daemon) -> None:
-        """Bind the listening port."""
+        """Bind the listening port and register the metrics.
+
+        Raises:
+            LacewingdockError: The port can't be bound.
+        """
         self.daemon = daemon
         self.links: set[Link] = set()
         self.handlers: dict[type, list[Callable[[Link, Any], None]]] = {}
@@ -104,20 +112,22 @@
         return float(getattr(self.traffic(), name))
 
     def handle(self, cls: type, handler: Callable[[Link, Any], None]) -> None:
-        """Let a handler take every message of a class; it must not block."""
+        """Register a handler for a message class; it must not block."""
         self.handlers.setdefault(cls, []).append(handler)
 
     def start(self) -> None:
-        """Start accepting and beating."""
+        """Start accepting connections and sending heartbeats."""
         self.daemon.spawn(self._accept_links)
         self.daemon.every(BEAT_BUSY_S, self.send_beats)
 
     def dial_and_read(self, address: str) -> None:
-        """Open a link and read it in the calling task until it closes.
+        """Open a link and handle its messages until it closes.
+
+        Blocks the calling task.
 
         Raises:
             LacewingdockError: BAD_LINK when the peer does not hold the key.
-            OSError: The connection failed or the time ran out.
+            OSError: The connection failed or timed out.
         """
         link = dial(address, self.daemon.me, self.daemon.keys)
         self._register_link(link)
@@ -136,7 +146,7 @@
             self.daemon.spawn(self._serve_connection, sock)
 
     def _serve_connection(self, sock: socket.socket) -> None:
-        """Shake hands with one peer, then read its link."""
+        """Accept the handshake of one peer, then handle its messages."""
         try:
             link = accept(sock, self.daemon.me, self.daemon.keys)
         except (OSError, LacewingdockError) as error:
@@ -157,7 +167,7 @@
             callback(link)
 
     def _dispatch_messages(self, link: Link) -> None:
-        """Hand on what a link brings until it closes."""
+        """Pass the messages of a link to their handlers until it closes."""
         try:
             for message in link.receive():
                 for handler in self.handlers.get(type(message), ()):
@@ -174,16 +184,18 @@
             log.info("link closed", peer=link.peer.instance, reason=link.reason)
 
     def send_beats(self) -> None:
-        """Beat links that are due and give up silent ones.
+        """Send due heartbeats and close links that have gone silent.
 
-        Something between two peers can lose track of a connection: it stays
-        open and carries nothing. The caller would wait for good. A link with
-        work that stays silent for several beats is closed, and its answers
-        are asked for again over a new one.
+        A middlebox between two peers can drop the state of a connection,
+        which then stays open but carries no data, and a caller would wait
+        forever. A link with running requests that is silent for several
+        heartbeats is therefore closed, and its answers are requested again
+        over a new link.
 
-        Only the side that answers beats often while there is work. The other
-        side waits for nothing, and an entry has work on nearly all its links:
-        beating them all often would take more than its whole control budget.
+        Only the answering side, the sidecar, sends frequent heartbeats while
+        requests run. The sidecar does not wait for the entry, and an entry
+        has requests on nearly all its links: frequent heartbeats on all of
+        them would exceed its whole budget for control traffic.
         """
         now = time.monotonic()
         answers = self.daemon.me.role == ROLE_SIDECAR
@@ -204,17 +216,18 @@
         return encode(beat)
 
     def _is_beat_due(self, link: Link, now: float, due: float) -> bool:
-        """Tell whether a link needs a beat.
+        """Return whether a heartbeat is due on a link.
 
-        Anything sent shows life, but only a beat shows the revision and the
-        load: under steady requests a sidecar would stay on an old
-        configuration for good.
+        Any message shows that the sender is alive, but only a heartbeat
+        carries the configuration revision and the load. If other messages
+        replaced heartbeats, a sidecar under steady requests would stay on an
+        old configuration indefinitely.
         """
         quiet = now - link.last_sent >= due * 0.9
         return quiet or now - link.last_beat >= BEAT_IDLE_S * 0.9
 
     def traffic(self) -> Traffic:
-        """Return what went over all links so far, the closed ones too."""
+        """Return the traffic totals of all links, including closed ones."""
         total = Traffic()
         total.add(self.closed_traffic)
         for link in tuple(self.links):
@@ -227,7 +240,10 @@
             link.send(message)
 
     def unload(self) -> None:
-        """Close the port and every link."""
+        """Close the listening port and all links.
+
+        Waits up to `DRAIN_TIMEOUT_S` for the peers to read pending messages.
+        """
         with contextlib.suppress(OSError):
             self.listener.close()
         for link in tuple(self.links):
@@ -240,7 +256,7 @@
 
 
 def setup(daemon: Daemon) -> Peers:
-    """Set the links up; `start` is called once all handlers are in place."""
+    """Set up the links; call `start` once all handlers are registered."""
     peers = Peers(daemon)
     daemon.add(NAME, peers)
     return peers
--- a/tests/components/leases/test_lease.py
+++ b/tests/components/leases/test_lease.py
@@ -1,4 +1,4 @@
-"""Tests of leases with frozen holders and lost answers."""
+"""Tests for leases with frozen holders and lost responses."""
 
 import contextlib
 
@@ -25,16 +25,17 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Processes that take, renew, freeze and step in any order.
+    """Processes that acquire, renew, freeze and write in any order.
 
-    Symptom: a roll-out goes back to a share it had left.
-    Events: the holder reads the object it steers and freezes; another takes
-    the lease and steers on; the first thaws and writes what it had in mind.
-    Cause: a step that rests on "I hold the lease" instead of on a condition.
+    Guards against a roll-out that returns to an earlier share: the holder
+    reads the controlled object and freezes, another process acquires the
+    lease and continues, then the first resumes and writes its planned value.
+    This happens if a step depends on `held` instead of on a conditional
+    update.
     """
 
     def __init__(self):
-        """Start with nobody holding the lease."""
+        """Start without a holder of the lease."""
         super().__init__()
         self.store = FakeStore()
         self.leases = [
@@ -45,7 +46,7 @@
             )
             for i in range(PROCESSES)
         ]
-        # What each process read and has in mind to write.
+        # The planned write of each process: value and expected revision.
         self.plans = [None] * PROCESSES
 
     process = st.integers(0, PROCESSES - 1)
@@ -91,7 +92,7 @@
 
     @rule(process=process)
     def carry_out_step(self, process):
-        """However long after the plan was made."""
+        """Write the planned step, any time after it was planned."""
         plan, self.plans[process] = self.plans[process], None
         if plan:
             with contextlib.suppress(LacewingdockError):
@@ -131,11 +132,11 @@
 
 
 def test_lost_renewal_is_settled_by_reading_back():
-    """A holder whose renewal's answer was lost goes on.
+    """A holder keeps its lease when the response to a renewal is lost.
 
-    Symptom: a healthy holder gives up its lease, or renews in vain for good.
-    Events: a renewal takes effect and its answer is lost.
-    Cause: the holder's revision is one behind its own write.
+    The renewal takes effect, but the holder's revision stays one behind its
+    own write. Without reading back, a healthy holder would lose its lease or
+    fail every later renewal.
     """
     store = FakeStore()
     lease = Lease("l", store, LeaseRecord(holder="a", incarnation="a1"))
@@ -176,11 +177,11 @@
 
 
 def test_number_of_a_holder_that_the_store_lost_is_not_given_again():
-    """Symptom: two holders give orders with one fencing number.
+    """A restored store must not cause two holders with one fencing number.
 
-    Sequence: a holder takes the lease; the store comes back from a copy of
-    before, and another process, which saw that holder, takes it. Cause: the
-    number was counted on from the copy's.
+    A holder acquires the lease, the store is restored from an earlier copy,
+    and another process, which observed that holder, acquires the lease. The
+    fault was that the next number was derived from that of the copy.
     """
     store = FakeStore()
     first, second = (
--- a/tests/components/orders/test_gate.py
+++ b/tests/components/orders/test_gate.py
@@ -1,4 +1,4 @@
-"""Tests of the gate that refuses the orders of earlier lease holders."""
+"""Tests for the gate that refuses orders of earlier lease holders."""
 
 import itertools
 
@@ -14,10 +14,10 @@
 
 
 class FakeEngine:
-    """An engine that ignores fencing numbers, behind its door."""
+    """Client of an engine that ignores fencing numbers."""
 
     def __init__(self, running=0):
-        """Start with requests running."""
+        """Build the client with a number of running requests."""
         self.running = running
         self.orders = []
         self.serving = {"v1"}
@@ -49,13 +49,13 @@
 @pytest.mark.parametrize("replaced", [False, True])
 @pytest.mark.parametrize("seen", [False, True])
 def test_thawed_holder_orders_nothing_that_takes_effect(seen, replaced):
-    """A frozen holder's order comes after another took over.
+    """A resumed holder's order is refused after another took over.
 
-    Symptom: a version that was rolled back is on an engine again.
-    Events: the holder freezes; another takes the lease and, or not, orders
-    this engine; the sidecar is, or is not, replaced; the first thaws and
-    its order arrives.
-    Cause: engines that don't compare fencing numbers obey anyone.
+    Otherwise a version that was rolled back is loaded on an engine again: the
+    holder freezes, another acquires the lease and may or may not send an
+    order to this engine, the sidecar may be replaced, and then the first
+    holder resumes and its order arrives. Engines that don't compare fencing
+    numbers accept orders from any sender.
     """
     store, engine = FakeStore(), FakeEngine()
     gate = OrderGate(store, engine)
@@ -72,9 +72,11 @@
 
 
 def test_sidecar_frozen_between_check_and_order():
-    """The sidecar itself is frozen between its check and the engine.
+    """An order is checked again if the sidecar was frozen after the check.
 
-    Symptom, events, cause: as above, with the sidecar frozen too.
+    The failure is that of the previous test, but the sidecar freezes between
+    its check and the request to the engine, while another process acquires
+    the lease.
     """
     store, engine = FakeStore(), FakeEngine()
     first = acquire_lease(store, "a")
--- a/tests/components/peers/test_peers.py
+++ b/tests/components/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests for beating links and giving up silent ones."""
+"""Tests for heartbeats on links and the timeout of silent links."""
 
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import replace
@@ -18,12 +18,12 @@
 
 
 class RecordingLink:
-    """A link that notes when it was beaten and closed."""
+    """A link that records its heartbeats and when it was closed."""
 
     silent_s = Link.silent_s
 
     def __init__(self, clock, busy):
-        """Start as just heard."""
+        """Build a link that has just received a message."""
         self.clock = clock
         self.busy = Tally()
         self.busy.add(busy)
@@ -34,13 +34,13 @@
         self.silent_at = None
 
     def beat(self, frame):
-        """Note a beat."""
+        """Record a heartbeat."""
         assert frame
         self.beats += 1
         self.last_beat = self.last_sent = self.clock.now
 
     def close(self, reason):
-        """Note when the link was first given up."""
+        """Record the time of the first close."""
         if self.silent_at is None:
             self.silent_at = self.clock.now
 
@@ -74,7 +74,8 @@
     [
         ("sidecar", 1, 50),
         ("sidecar", 0, 2),
-        # An entry with work on all its links must not beat them all often.
+        # An entry has requests on nearly all its links and must not send
+        # frequent heartbeats on all of them.
         ("entry", 1, 2),
         ("entry", 0, 2),
     ],
@@ -85,13 +86,13 @@
 
 @pytest.mark.parametrize("role", ["entry", "sidecar"])
 def test_steady_traffic_does_not_take_the_place_of_beats(monkeypatch, role):
-    """A sidecar stays on an old configuration while it is busy.
+    """Heartbeats are sent even if other messages keep a link active.
 
-    Symptom: a change is not in force at a sidecar 19 s after all is well.
-    Sequence: the push of the change goes to other peers or is lost, and the
-    entry sends this sidecar a request every second from then on.
-    Cause: a beat was due only after a pause in sending, and the beat is what
-    shows the revision.
+    Otherwise a busy sidecar stays on an old configuration: a change was not
+    applied 19 s after the network had recovered. The push of the change goes
+    to other peers or is lost, and the entry then sends this sidecar a request
+    every second. The fault was that a heartbeat, which carries the revision,
+    was due only after a pause in sending.
     """
     beats, _ = run_beats(monkeypatch, role, 0, 20.0, True, sends=True)
     assert beats >= 3
@@ -107,11 +108,12 @@
 
 
 def test_a_probe_opens_no_link():
-    """Symptom: a home's log is full of links that closed.
+    """A probe must not be handled or logged as a link of a peer.
 
-    Sequence: the others probe it each second, by a link that they close.
-    Cause: a probe was told from a peer neither here nor in the log; each
-    was greeted with the news, too.
+    Otherwise the log of a home fills with closed links, since other processes
+    probe it every second over a connection that they close. The fault was
+    that neither this component nor the log distinguished a probe from a peer,
+    and each probe was also sent the pending changes.
     """
     me = Hello("home", "first", "sidecar", "hall", b"")
     keys = KeyRing("k", {"k": b"s" * 16}, (1, 1))
