--- a/tests/components/quarantine/virtual_fleet.py
+++ b/tests/components/quarantine/virtual_fleet.py
@@ -97,8 +97,8 @@
 
     def read(self, link):
         """Read a link to its end."""
-        self._open(link)
-        self._read(link)
+        self._register_link(link)
+        self._dispatch_messages(link)
 
 
 class FleetDaemon:
