--- a/lacewingdock/components/leases/__init__.py
+++ b/lacewingdock/components/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Support for leases of controllers, which any entry may hold."""
+"""Support for leader election of controllers by leases in the platform."""
 
 import contextlib
 import time
@@ -11,13 +11,13 @@
 from lacewingdock.components.leases.const import (
     FAILED_PROBES,
     NAME,
-    PATIENCE,
-    PROBE_S,
+    PROBE_INTERVAL_S,
     PROBE_TIMEOUT_S,
-    READ_S,
-    RENEW_S,
-    STALE_S,
-    WORK_S,
+    PROBES_PER_RANK,
+    READ_INTERVAL_S,
+    RENEW_INTERVAL_S,
+    RENEWAL_STALE_S,
+    WORK_INTERVAL_S,
 )
 from lacewingdock.components.leases.lease import Lease, LeaseRecord
 from lacewingdock.components.membership import Membership
@@ -34,19 +34,20 @@
 
 
 @dataclass(slots=True)
-class Duty:
-    """A lease that this entry may hold, and what its holder does.
+class LeaseTask:
+    """A lease that this entry may hold, and the work of its holder.
 
     Attributes:
         lease: The lease.
-        work: Called again and again by the holder with the fencing number.
-            Each of its steps is a conditional update or carries the number.
-        probes: Failed probes of the holder in a row.
-        read_at: Monotonic time of the last read.
-        ranked: The candidates as last ranked.
-        ranked_from: The instance list and the holder that they were ranked
-            from; ranking thousands each second would cost more than all
-            else that a lease does.
+        work: Called periodically with the fencing number while this entry
+            holds the lease. Each step of the work is a conditional update or
+            carries the fencing number.
+        probes: Consecutive failed probes of the holder.
+        read_at: Monotonic time of the last read of the lease.
+        ranked: Names of the candidates from the last ranking.
+        ranked_from: The instance list and the holder behind `ranked`. The
+            ranking is cached because ranking thousands of instances every
+            second would cost more than all other work of a lease.
     """
 
     lease: Lease
@@ -60,36 +61,44 @@
 
 
 class Leases:
-    """The leases that this entry holds or would take over.
+    """The leases that this entry holds or is a candidate for.
 
     Attributes:
         daemon: The daemon.
-        peers: Links; their port is where candidates probe this holder.
-        membership: Knows the live entries.
-        duties: The duties by lease name.
+        peers: Links to peers; candidates probe a holder on its link port.
+        membership: Source of the list of live entries.
+        tasks: The lease tasks by lease name.
     """
 
-    __slots__ = ("daemon", "duties", "membership", "peers")
+    __slots__ = ("daemon", "membership", "peers", "tasks")
 
     def __init__(
         self, daemon: Daemon, peers: Peers, membership: Membership
     ) -> None:
-        """Start without leases."""
+        """Build an empty set of leases and register its metric."""
         self.daemon = daemon
         self.peers = peers
         self.membership = membership
-        self.duties: dict[str, Duty] = {}
+        self.tasks: dict[str, LeaseTask] = {}
         held = prometheus_client.Gauge(
             "lacewingdock_leases_held",
             "Leases that this daemon believes to hold",
             registry=daemon.metrics,
         )
         held.set_function(
-            lambda: float(sum(d.lease.held for d in self.duties.values()))
+            lambda: float(sum(d.lease.held for d in self.tasks.values()))
         )
 
     def add(self, name: str, work: Callable[[int], None]) -> Lease:
-        """Let this entry be a candidate for a lease; before `start`."""
+        """Make this entry a candidate for a lease.
+
+        Must be called before `start`.
+
+        Args:
+            name: Name of the lease.
+            work: Called periodically with the fencing number while this
+                entry holds the lease.
+        """
         me = self.daemon.me
         record = LeaseRecord(
             holder=me.instance,
@@ -97,108 +106,110 @@
             address=f"{self.daemon.settings.host}:{self.peers.port}",
         )
         lease = Lease(name, self.daemon.store, record)
-        self.duties[name] = Duty(lease, work)
+        self.tasks[name] = LeaseTask(lease, work)
         return lease
 
     def start(self) -> None:
-        """Start one task for each lease."""
-        for duty in self.duties.values():
-            self.daemon.spawn(self._keep, duty)
+        """Start a background task for each lease."""
+        for task in self.tasks.values():
+            self.daemon.spawn(self._run, task)
 
-    def _keep(self, duty: Duty) -> None:
+    def _run(self, task: LeaseTask) -> None:
         while not self.daemon.stopping.is_set():
-            pause = WORK_S if duty.lease.held else PROBE_S
+            pause = WORK_INTERVAL_S if task.lease.held else PROBE_INTERVAL_S
             if self.daemon.stopping.wait(
                 pause * self.daemon.random.uniform(0.8, 1.2)
             ):
                 return
             try:
-                self._round(duty)
+                self._run_once(task)
             except LacewingdockError as error:
-                log.info("lease", lease=duty.lease.name, error=error.detail)
+                log.info("lease", lease=task.lease.name, error=error.detail)
             except Exception:
-                log.exception("lease work failed", lease=duty.lease.name)
+                log.exception("lease work failed", lease=task.lease.name)
 
-    def _round(self, duty: Duty) -> None:
-        """Do one round as holder or as candidate."""
-        lease = duty.lease
+    def _run_once(self, task: LeaseTask) -> None:
+        """Run one iteration as the holder or as a candidate."""
+        lease = task.lease
         if self.daemon.leaving.is_set():
             if lease.held:
-                self._leave(lease)
+                self._release(lease)
             return
         if lease.unsettled:
             lease.read()
         if lease.held:
-            self._work(duty)
+            self._run_as_holder(task)
         else:
-            self._seek(duty)
+            self._run_as_candidate(task)
 
-    def _work(self, duty: Duty) -> None:
-        lease = duty.lease
+    def _run_as_holder(self, task: LeaseTask) -> None:
+        lease = task.lease
         now = time.monotonic()
-        if now - duty.read_at > READ_S:
-            # A holder that was frozen finds out here that it was replaced,
-            # also when it has no step to do that would fail.
+        if now - task.read_at > READ_INTERVAL_S:
+            # A holder that was frozen detects here that it was replaced, even
+            # if it has no conditional update pending that would fail.
             lease.read()
-            duty.read_at = now
+            task.read_at = now
         if not lease.held:
             return
-        if now - lease.seen_at > RENEW_S:
+        if now - lease.seen_at > RENEW_INTERVAL_S:
             lease.renew()
         try:
-            duty.work(lease.fencing)
+            task.work(lease.fencing)
         except LacewingdockError as error:
             if error.kind is not ErrorKind.CONFLICT:
                 raise
-            # Another wrote what this step was based on: an operator, or a
-            # new holder while this one was frozen. The lease tells which.
+            # Another writer changed the object that this step was based on:
+            # an operator, or a new holder while this one was frozen. Reading
+            # the lease shows which of the two.
             lease.read()
             if not lease.held:
                 log.warning(
                     "lease lost", lease=lease.name, holder=lease.record.holder
                 )
 
-    def _seek(self, duty: Duty) -> None:
-        """Take the lease if its holder is gone and this entry is next."""
-        lease = duty.lease
-        rank = self._rank(duty)
+    def _run_as_candidate(self, task: LeaseTask) -> None:
+        """Acquire the lease if its holder is down and this entry is next."""
+        lease = task.lease
+        rank = self._own_rank(task)
         if rank is None:
-            duty.probes = 0
+            task.probes = 0
             return
         now = time.monotonic()
-        if now - duty.read_at > READ_S:
+        if now - task.read_at > READ_INTERVAL_S:
             lease.read()
-            duty.read_at = now
-        if self._alive(lease):
-            duty.probes = 0
+            task.read_at = now
+        if self._is_holder_alive(lease):
+            task.probes = 0
             return
-        duty.probes += 1
+        task.probes += 1
         needed = FAILED_PROBES if lease.record.holder else 1
-        if duty.probes >= needed + rank * PATIENCE:
-            self._take(duty)
+        if task.probes >= needed + rank * PROBES_PER_RANK:
+            self._acquire(task)
 
-    def _rank(self, duty: Duty) -> int | None:
-        """Place of this entry among the candidates; None if it is none."""
+    def _own_rank(self, task: LeaseTask) -> int | None:
+        """Return this entry's rank; None if it is not a candidate."""
         me = self.daemon.me.instance
         instances = self.membership.instances
-        holder = duty.lease.record.holder
-        # A holder that was restarted under its name is a candidate again:
-        # in a deployment of one entry nobody else could take over.
+        holder = task.lease.record.holder
+        # A holder that was restarted under the same name is a candidate
+        # again: with a single entry nobody else could acquire the lease.
         holder = holder if holder != me else ""
-        known, known_holder = duty.ranked_from
-        if known is not instances or known_holder != holder:
-            duty.ranked_from = (instances, holder)
-            duty.ranked = rank_candidates(duty.lease.name, instances, holder)
-        return duty.ranked.index(me) if me in duty.ranked else None
-
-    def _alive(self, lease: Lease) -> bool:
-        """Probe the holder by a handshake on its link port."""
+        ranked_instances, ranked_holder = task.ranked_from
+        if ranked_instances is not instances or ranked_holder != holder:
+            task.ranked_from = (instances, holder)
+            task.ranked = rank_candidates(task.lease.name, instances, holder)
+        return task.ranked.index(me) if me in task.ranked else None
+
+    def _is_holder_alive(self, lease: Lease) -> bool:
+        """Probe the holder with a handshake on its link port."""
         record = lease.record
         if not record.holder:
             return False
-        if time.monotonic() - lease.seen_at > STALE_S:
-            # It answers probes and has long not renewed: it can't reach the
-            # platform, and nothing under this lease would move.
+        if time.monotonic() - lease.seen_at > RENEWAL_STALE_S:
+            # The holder may still answer probes, but without a renewal for
+            # this long it can't reach the platform, and no work under this
+            # lease would make progress.
             return False
         try:
             peer = probe(
@@ -211,32 +222,33 @@
             return False
         return peer.incarnation == record.incarnation
 
-    def _take(self, duty: Duty) -> None:
-        lease = duty.lease
+    def _acquire(self, task: LeaseTask) -> None:
+        lease = task.lease
         before = lease.revision
         lease.read()
         if lease.revision != before:
-            # Someone else moved first; probe that one.
-            duty.probes = 0
+            # The lease was acquired or renewed by another process meanwhile;
+            # start over and probe that holder.
+            task.probes = 0
             return
         lease.take()
-        duty.probes = 0
-        log.info("lease taken", lease=lease.name, fencing=lease.fencing)
+        task.probes = 0
+        log.info("lease acquired", lease=lease.name, fencing=lease.fencing)
 
-    def _leave(self, lease: Lease) -> None:
+    def _release(self, lease: Lease) -> None:
         with contextlib.suppress(LacewingdockError):
             lease.leave()
         lease.held = False
 
     def unload(self) -> None:
-        """Leave every lease, so that others need not find out."""
-        for duty in self.duties.values():
-            if duty.lease.held:
-                self._leave(duty.lease)
+        """Release all held leases, so that candidates need no failed probes."""
+        for task in self.tasks.values():
+            if task.lease.held:
+                self._release(task.lease)
 
 
 def setup(daemon: Daemon, peers: Peers, membership: Membership) -> Leases:
-    """Set the leases up."""
+    """Set up the leases and add them to the daemon."""
     leases = Leases(daemon, peers, membership)
     daemon.add(NAME, leases)
     return leases
--- a/lacewingdock/components/leases/candidates.py
+++ b/lacewingdock/components/leases/candidates.py
@@ -1,9 +1,9 @@
-"""Support for spreading leases over the entries."""
+"""Support for distributing leases over the entries."""
 
 import hashlib
 from collections.abc import Iterable
 
-from lacewingdock.components.leases.const import CANDIDATES
+from lacewingdock.components.leases.const import MAX_CANDIDATES
 from lacewingdock.const import ROLE_ENTRY
 from lacewingdock.world.objects import Instance
 
@@ -11,17 +11,19 @@
 def rank_candidates(
     lease: str, instances: Iterable[Instance], holder: str
 ) -> list[str]:
-    """Return the entries that look after a lease, the best one first.
+    """Return the names of the candidates for a lease, best rank first.
 
-    Rendezvous hashing: all rank alike without talking, each lease has
-    another order, and one entry that comes or goes moves few leases. The
-    candidates stand in different failure domains where there are enough, so
-    that the loss of one domain leaves a taker.
+    Uses rendezvous hashing: all entries compute the same ranking without
+    communication, each lease has a different order, and an entry that joins
+    or leaves moves few leases. The candidates are in different failure
+    domains where there are enough of them, so that the loss of one domain
+    leaves a candidate to take over.
 
     Args:
         lease: Name of the lease.
-        instances: The platform's list.
-        holder: The holder, which can't succeed itself.
+        instances: The instance list of the platform.
+        holder: Name of the current holder, which is left out because it
+            can't succeed itself.
     """
     ranked = sorted(
         (
@@ -35,7 +37,7 @@
     rest: list[str] = []
     domains: set[str] = set()
     for instance in ranked:
-        fresh = instance.failure_domain not in domains
+        is_new_domain = instance.failure_domain not in domains
         domains.add(instance.failure_domain)
-        (first if fresh else rest).append(instance.name)
-    return (first + rest)[:CANDIDATES]
+        (first if is_new_domain else rest).append(instance.name)
+    return (first + rest)[:MAX_CANDIDATES]
--- a/tests/components/peers/test_peers.py
+++ b/tests/components/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests for beating links and giving up silent ones."""
+"""Tests for heartbeats on links and the timeout of silent links."""
 
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import replace
@@ -17,13 +17,13 @@
 from tests.fakes import FakeClock
 
 
-class PacedLink:
-    """A link that notes when it was beaten and closed."""
+class RecordingLink:
+    """A link that records its heartbeats and when it was closed."""
 
     silent_s = Link.silent_s
 
     def __init__(self, clock, busy):
-        """Start as just heard."""
+        """Build a link that has just received a message."""
         self.clock = clock
         self.busy = Tally()
         self.busy.add(busy)
@@ -34,18 +34,18 @@
         self.silent_at = None
 
     def beat(self, frame):
-        """Note a beat."""
+        """Record a heartbeat."""
         assert frame
         self.beats += 1
         self.last_beat = self.last_sent = self.clock.now
 
     def close(self, reason):
-        """Note when the link was first given up."""
+        """Record the time of the first close."""
         if self.silent_at is None:
             self.silent_at = self.clock.now
 
 
-def paced(monkeypatch, role, busy, seconds, hears, sends=False):
+def run_beats(monkeypatch, role, busy, seconds, receives, sends=False):
     clock = FakeClock()
     monkeypatch.setattr(peers, "time", clock)
     daemon = SimpleNamespace(
@@ -54,16 +54,16 @@
         metrics=prometheus_client.CollectorRegistry(),
     )
     links = peers.Peers(daemon)
-    link = PacedLink(clock, busy)
+    link = RecordingLink(clock, busy)
     links.links.add(link)
     start = clock.now
     for _ in range(int(seconds / 0.2)):
         clock.now += 0.2
-        if hears:
+        if receives:
             link.last_received = clock.now
         if sends:
             link.last_sent = clock.now
-        links.pace()
+        links.send_beats()
     links.listener.close()
     silent = None if link.silent_at is None else link.silent_at - start
     return link.beats, silent
@@ -74,26 +74,27 @@
     [
         ("sidecar", 1, 50),
         ("sidecar", 0, 2),
-        # An entry with work on all its links must not beat them all often.
+        # An entry has requests on nearly all its links and must not send
+        # frequent heartbeats on all of them.
         ("entry", 1, 2),
         ("entry", 0, 2),
     ],
 )
 def test_only_the_side_that_answers_beats_often(monkeypatch, role, busy, beats):
-    assert paced(monkeypatch, role, busy, 10.0, True) == (beats, None)
+    assert run_beats(monkeypatch, role, busy, 10.0, True) == (beats, None)
 
 
 @pytest.mark.parametrize("role", ["entry", "sidecar"])
 def test_steady_traffic_does_not_take_the_place_of_beats(monkeypatch, role):
-    """A sidecar stays on an old configuration while it is busy.
+    """Heartbeats are sent even if other messages keep a link active.
 
-    Symptom: a change is not in force at a sidecar 19 s after all is well.
-    Sequence: the push of the change goes to other peers or is lost, and the
-    entry sends this sidecar a request every second from then on.
-    Cause: a beat was due only after a pause in sending, and the beat is what
-    shows the revision.
+    Otherwise a busy sidecar stays on an old configuration: a change was not
+    applied 19 s after the network had recovered. The push of the change goes
+    to other peers or is lost, and the entry then sends this sidecar a request
+    every second. The fault was that a heartbeat, which carries the revision,
+    was due only after a pause in sending.
     """
-    beats, _ = paced(monkeypatch, role, 0, 20.0, True, sends=True)
+    beats, _ = run_beats(monkeypatch, role, 0, 20.0, True, sends=True)
     assert beats >= 3
 
 
@@ -102,16 +103,17 @@
     [("entry", 1, 0.7, 1.0), ("entry", 0, 16, 17), ("sidecar", 1, 16, 17)],
 )
 def test_silent_link_is_given_up(monkeypatch, role, busy, low, high):
-    _, silent = paced(monkeypatch, role, busy, 20.0, False)
+    _, silent = run_beats(monkeypatch, role, busy, 20.0, False)
     assert low <= silent <= high
 
 
 def test_a_probe_opens_no_link():
-    """Symptom: a home's log is full of links that closed.
+    """A probe must not be handled or logged as a link of a peer.
 
-    Sequence: the others probe it each second, by a link that they close.
-    Cause: a probe was told from a peer neither here nor in the log; each
-    was greeted with the news, too.
+    Otherwise the log of a home fills with closed links, since other processes
+    probe it every second over a connection that they close. The fault was
+    that neither this component nor the log distinguished a probe from a peer,
+    and each probe was also sent the pending changes.
     """
     me = Hello("home", "first", "sidecar", "hall", b"")
     keys = KeyRing("k", {"k": b"s" * 16}, (1, 1))
@@ -129,7 +131,7 @@
     other = replace(me, instance="other")
     with logbook.TestHandler() as handler, ThreadPoolExecutor(1) as pool:
         probing = pool.submit(probe, address, other, keys, 2.0)
-        links._serve(links.listener.accept()[0])
+        links._serve_connection(links.listener.accept()[0])
         assert probing.result().incarnation == "first"
     links.listener.close()
     assert not opened
