--- a/lacewingdock/cli.py
+++ b/lacewingdock/cli.py
@@ -66,7 +66,7 @@
     @command()
     def check(self, file: str) -> str:
         """Check a manifest, or a platform's settings file (FILE.toml)."""
-        from lacewingdock.daemons.router_timing import too_slow
+        from lacewingdock.daemons.router_timing import paths_over_bound
         from lacewingdock.platform.profile import load_profile
         from lacewingdock.world.host import HostProfile
         from lacewingdock.world.manifest import parse_manifest
@@ -78,7 +78,7 @@
             if isinstance(profile, HostProfile):
                 lines += [
                     f"bound too short: {one}"
-                    for one in too_slow(profile.bounds)
+                    for one in paths_over_bound(profile.bounds)
                 ]
             return "\n".join(lines)
         manifest = parse_manifest(_read(file))
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -54,7 +54,7 @@
 )
 from lacewingdock.daemons.router_relay import is_worthwhile
 from lacewingdock.daemons.router_return import on_return
-from lacewingdock.daemons.router_timing import LAPSED_S, too_slow
+from lacewingdock.daemons.router_timing import LAPSED_S, paths_over_bound
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.clock import STEADY
 from lacewingdock.helpers.ids import new_id
@@ -282,9 +282,11 @@
         _start("shifts", self._every, ROUND_S, self.shifts.round)
         _start("suspects", self.suspects.run, self.stopping)
         _start("lapsed", self._every, LAPSED_S, self._drop_lapsed)
-        _start("housekeeping", self._every, HOUSEKEEPING_S, self._keep_house)
+        _start(
+            "housekeeping", self._every, HOUSEKEEPING_S, self._run_housekeeping
+        )
         log.info("started", profile=self.settings.config)
-        for path in too_slow(self.host.bounds):
+        for path in paths_over_bound(self.host.bounds):
             log.warning(
                 "bound too short",
                 bound=path.bound,
@@ -404,7 +406,7 @@
             followed=is_worthwhile(routers, self.host.bounds),
         )
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         self.gateway.pool.prune()
         self.gateway.update_retry_terms(self._retry_terms())
 
--- a/lacewingdock/daemons/router_timing.py
+++ b/lacewingdock/daemons/router_timing.py
@@ -247,7 +247,7 @@
     ]
 
 
-def too_slow(bounds: Bounds) -> list[PropagationPath]:
+def paths_over_bound(bounds: Bounds) -> list[PropagationPath]:
     """Return the paths that may take longer than their bound."""
     return [
         path
--- a/tests/components/gateway/test_budget.py
+++ b/tests/components/gateway/test_budget.py
@@ -24,7 +24,7 @@
     found = RouterDaemon(HostWatch("x", "", host), RouterSettings(config="x"))
     for number in range(1, routers):
         found.routers.entries[f"r-{number}"] = found.routers.entry
-    found._keep_house()
+    found._run_housekeeping()
     for port in (found.callers, found.ready, found.copies):
         port.listener.close()
     return found
@@ -45,7 +45,7 @@
     for _ in range(30):
         for _ in range(rate):
             budget.count_request()
-        daemon._keep_house()
+        daemon._run_housekeeping()
     taken = 0
     for _ in range(10):
         for _ in range(rate):
@@ -53,7 +53,7 @@
             taken += budget.take()
         while budget.take():
             taken += 1
-        daemon._keep_house()
+        daemon._run_housekeeping()
     allowed = bounds.retry_ratio * rate * 10 * routers + bounds.retry_extra
     assert taken * routers <= allowed
 
@@ -69,12 +69,12 @@
     daemon.host.bounds = Bounds(
         retry_ratio=0.1, retry_extra=24.0, retry_window_s=4.0
     )
-    daemon._keep_house()
+    daemon._run_housekeeping()
     while budget.take():
         pass
     for _ in range(40):
         budget.count_request()
-        daemon._keep_house()
+        daemon._run_housekeeping()
     taken = 0
     while budget.take():
         taken += 1
@@ -94,5 +94,5 @@
     for _ in range(15):
         for _ in range(10):
             budget.count_request()
-        daemon._keep_house()
+        daemon._run_housekeeping()
     assert budget.saved >= CASCADE_RESERVE
--- a/tests/daemons/test_router_timing.py
+++ b/tests/daemons/test_router_timing.py
@@ -9,7 +9,7 @@
 
 from lacewingdock.cli import Commands
 from lacewingdock.daemons import router_timing
-from lacewingdock.daemons.router_timing import too_slow
+from lacewingdock.daemons.router_timing import paths_over_bound
 from lacewingdock.world.host import Bounds
 
 # What deployments are held to: small ones, and those of 50 machines and more.
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("bounds", [SMALL, LARGE, LEAST, Bounds(), CORDONS])
 def test_paths_fit_in_the_bounds(bounds):
-    assert too_slow(bounds) == []
+    assert paths_over_bound(bounds) == []
 
 
 @given(
@@ -58,7 +58,7 @@
 )
 @settings(derandomize=True, deadline=None)
 def test_paths_fit_in_any_bounds_from_the_least_on(**fields):
-    assert too_slow(Bounds(**fields)) == []
+    assert paths_over_bound(Bounds(**fields)) == []
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,7 @@
     ],
 )
 def test_bound_that_is_too_short_is_told(field, seconds, broken):
-    found = too_slow(replace(Bounds(), **{field: seconds}))
+    found = paths_over_bound(replace(Bounds(), **{field: seconds}))
     assert {path.name for path in found} == broken
     for path in found:
         assert path.bound == field.removesuffix("_s")
@@ -110,7 +110,7 @@
         monkeypatch.setattr(router_timing, name, replace(part, seconds=seconds))
     parts = (router_timing._PAUSE, router_timing._ANSWER)
     monkeypatch.setattr(router_timing, "_HEARD", parts)
-    assert too_slow(SMALL)
+    assert paths_over_bound(SMALL)
 
 
 @given(contact_s=st.floats(2.8, 30.0), renewal_s=st.floats(0.2, 10.0))
