--- a/lacewingdock/daemons/entry.py
+++ b/lacewingdock/daemons/entry.py
@@ -49,17 +49,21 @@
     links.beat = lambda: Beat(revision=config.revision)
     members = membership.setup(daemon, links, config, settings.subset)
     orders.setup(daemon, links, None)
-    held = leases.setup(daemon, links, members)
-    controller = rollouts.setup(daemon, config, members, held).controller
-    judge = FleetJudge(daemon.store, rated=bool(settings.ratings))
-    controller.verdict = judge.verdict
-    controller.levels = judge.levels
-    controller.ended = judge.clean
-    seen = watch.setup(daemon, config, lambda: max(members.entries, 1))
-    stops = emergency.setup(daemon, links, config)
+    entry_leases = leases.setup(daemon, links, members)
+    controller = rollouts.setup(
+        daemon, config, members, entry_leases
+    ).controller
+    fleet_judge = FleetJudge(daemon.store, rated=bool(settings.ratings))
+    controller.verdict = fleet_judge.verdict
+    controller.levels = fleet_judge.levels
+    controller.ended = fleet_judge.clean
+    exposure_watch = watch.setup(
+        daemon, config, lambda: max(members.entries, 1)
+    )
+    emergency_stop = emergency.setup(daemon, links, config)
     open_answers = answers.setup(daemon, links, members)
-    stops.open = open_answers.open
-    stops.on_note.append(seen.add_request)
+    emergency_stop.open = open_answers.open
+    emergency_stop.on_note.append(exposure_watch.add_request)
     suspects = quarantine.setup(daemon, links, config)
     inquiry = Inquiry(links, members, suspects)
     bills = billing.setup(daemon, links, lambda: members.entries)
@@ -68,9 +72,9 @@
     )
     relay = Relay(open_answers, members, suspects, daemon.random)
     ratings = Ratings(settings.ratings) if settings.ratings else None
-    learning = cascades.setup(daemon, ratings)
-    learning.wants = seen.wants
-    learning.on_rating.append(seen.add_rating)
+    learner = cascades.setup(daemon, ratings)
+    learner.wants = exposure_watch.wants
+    learner.on_rating.append(exposure_watch.add_rating)
     watcher = departures.setup(daemon, open_answers)
     app = CallersApp(
         daemon,
@@ -80,14 +84,16 @@
             config,
             relay,
             load_keys(settings.session_keys_file),
-            Steps(relay, learning),
+            Steps(relay, learner),
             spending,
         ),
         ServiceCalls(config, relay, spending),
         watcher,
     )
-    shown = metrics.setup(daemon, settings, links, open_answers, ratings)
-    port = callers.setup(daemon, settings, app, shown.observe)
+    entry_metrics = metrics.setup(
+        daemon, settings, links, open_answers, ratings
+    )
+    port = callers.setup(daemon, settings, app, entry_metrics.observe)
     admin_port = admin.setup(
         daemon,
         config,
@@ -97,12 +103,12 @@
     started = (
         links,
         config,
-        learning,
-        seen,
+        learner,
+        exposure_watch,
         suspects,
         members,
         watcher,
-        held,
+        entry_leases,
         bills,
         spending,
         port,
--- a/lacewingdock/daemons/load_sidecar.py
+++ b/lacewingdock/daemons/load_sidecar.py
@@ -53,12 +53,12 @@
     """
 
     __slots__ = (
-        "asked",
         "gauge",
         "path",
         "port",
         "profile",
         "reader",
+        "reload_requested",
         "routers",
         "stopping",
     )
@@ -77,15 +77,20 @@
             (profile.address, profile.port), self.gauge, self.routers.is_router
         )
         self.path = path
-        self.asked = threading.Event()
+        self.reload_requested = threading.Event()
         self.stopping = threading.Event()
 
     def run(self) -> None:
         """Serve until SIGTERM or SIGINT."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.stopping.set())
-        signal.signal(signal.SIGHUP, lambda *_: self.asked.set())
-        tasks = (self.port.listen, self._read, self._know, self._settings)
+        signal.signal(signal.SIGHUP, lambda *_: self.reload_requested.set())
+        tasks = (
+            self.port.listen,
+            self._poll_engine,
+            self._refresh_routers,
+            self._reload_settings,
+        )
         for task in tasks:
             threading.Thread(
                 target=task, args=(self.stopping,), daemon=True
@@ -93,10 +98,10 @@
         host, port = self.profile.engine
         log.info("started", engine=f"{host}:{port}", port=self.profile.port)
         while not self.stopping.wait(LOG_INTERVAL_S):
-            self._tell("so far")
-        self._tell("stopped")
+            self._log_counters("so far")
+        self._log_counters("stopped")
 
-    def _tell(self, message: str) -> None:
+    def _log_counters(self, message: str) -> None:
         log.info(
             message,
             answered=self.port.datagrams.sent,
@@ -104,7 +109,7 @@
             refused=self.port.datagrams.refused,
         )
 
-    def _read(self, stopping: threading.Event) -> None:
+    def _poll_engine(self, stopping: threading.Event) -> None:
         """Read the engine's report, again and again."""
         is_known = True
         while not stopping.wait(READ_INTERVAL_S):
@@ -122,24 +127,27 @@
                 log.info("engine back", running=report.running)
             is_known = True
 
-    def _settings(self, stopping: threading.Event) -> None:
+    def _reload_settings(self, stopping: threading.Event) -> None:
         """Say what a changed settings file asks for, at an operator's word.
 
         What a sidecar takes from it says which engine is its own and where it
         listens; only a restart changes that.
         """
         while not stopping.wait(LOOK_S):
-            if not self.asked.is_set():
+            if not self.reload_requested.is_set():
                 continue
-            self.asked.clear()
+            self.reload_requested.clear()
             try:
                 found = parse_sidecar_profile(read_text(self.path), self.path)
             except LacewingdockError as error:
                 log.error("settings not read again", error=str(error))
                 continue
-            log.info("settings read again", need_restart=self._changed(found))
+            log.info(
+                "settings read again",
+                need_restart=self._changed_settings(found),
+            )
 
-    def _changed(self, found: SidecarProfile) -> list[str]:
+    def _changed_settings(self, found: SidecarProfile) -> list[str]:
         """Return the names of the settings that differ."""
         return [
             one.name
@@ -147,7 +155,7 @@
             if getattr(found, one.name) != getattr(self.profile, one.name)
         ]
 
-    def _know(self, stopping: threading.Event) -> None:
+    def _refresh_routers(self, stopping: threading.Event) -> None:
         """Keep the routers known."""
         while not stopping.is_set():
             self.routers.refresh()
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -42,19 +42,22 @@
 from lacewingdock.const import THREAD_STACK_BYTES
 from lacewingdock.daemons.router_announce import Announcer
 from lacewingdock.daemons.router_mirrors import (
-    Pace,
+    MirrorPacing,
     build_mirrors,
+    build_store_health,
     reports_pause_s,
-    store_health,
 )
 from lacewingdock.daemons.router_ports import (
     build_gossip,
     build_prober,
     build_relay_port,
 )
-from lacewingdock.daemons.router_relay import is_worthwhile
-from lacewingdock.daemons.router_return import on_return
-from lacewingdock.daemons.router_timing import LAPSED_S, paths_over_bound
+from lacewingdock.daemons.router_relay import relay_reduces_calls
+from lacewingdock.daemons.router_restore import on_return
+from lacewingdock.daemons.router_timing import (
+    LAPSE_CHECK_INTERVAL_S,
+    paths_over_bound,
+)
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.clock import STEADY
 from lacewingdock.helpers.ids import new_id
@@ -96,10 +99,10 @@
 # What a stop leaves of the grace time for ending the process.
 GRACE_MARGIN_S: Final = 0.6
 # How often a stop looks whether its last requests have ended.
-LEAVE_POLL_S: Final = 0.05
+DRAIN_POLL_INTERVAL_S: Final = 0.05
 # How often idle connections are pruned and the part of the retries is taken
 # anew, which `FleetBudget` counts in seconds.
-HOUSEKEEPING_S: Final = 1.0
+HOUSEKEEPING_INTERVAL_S: Final = 1.0
 
 log = get_logger("router")
 
@@ -152,7 +155,7 @@
         self.watch = watch
         self.settings = settings
         self.started = time.monotonic()
-        self.asked = threading.Event()
+        self.reload_requested = threading.Event()
         self.stopping = threading.Event()
         self.leaving = threading.Event()
         self.random = random.Random(os.urandom(8))
@@ -163,7 +166,7 @@
         address = "{}:{}".format(*host.peer_address)
         entry = RouterEntry(address, incarnation)
         self.routers = Routers(
-            self.api, host.instance, entry, self._first_peers, self.random
+            self.api, host.instance, entry, self._get_first_peers, self.random
         )
         self.shifts = Shifts(
             host,
@@ -174,26 +177,29 @@
         )
         self.routers.tell = self.shifts.own_reports
         self.suspects = PoisonRequests(
-            self.directory, self.routers.publish, self._look_at, self.random
+            self.directory,
+            self.routers.publish,
+            self._check_address,
+            self.random,
         )
         self.routers.on_status = lambda router, status: (
             self.suspects.recover(status.losses)
             if router == host.instance
             else self.suspects.receive(router, status.losses)
         )
-        self.mirrors = self._mirrors()
+        self.mirrors = self._build_mirrors()
         self.api.eras.on_return.append(
             on_return(
                 self.health,
                 self.directory,
                 self.routers,
                 self.suspects,
-                self._bounds,
+                self._get_bounds,
             )
         )
         self.shifts.unseen_s = lambda: self.mirrors[KIND_SHIFTS].unseen_s
         self.shifts.store_doubtful = lambda: self.health.doubtful
-        self.gateway = self._gateway()
+        self.gateway = self._build_gateway()
         self.fleet_load = FleetLoad()
         self.gateway.chooser.others = self.fleet_load.at
         self.gossip = build_gossip(
@@ -210,7 +216,7 @@
         )
         self.gateway.chooser.prober = build_prober(host, self.random)
         self.gateway.readiness_events += [
-            one.ready for one in self._essential()
+            one.ready for one in self._essential_mirrors()
         ]
         self.callers = CallersPort(
             self.gateway,
@@ -225,7 +231,7 @@
         self.copies = CopyServer(
             host.peer_address, self.mirrors, self.health, self.shifts.receive
         )
-        self.inspection = self._inspection()
+        self.inspection = self._build_inspection()
 
     def listeners(self) -> list[PortListener]:
         """Return what accepts connections."""
@@ -246,7 +252,7 @@
 
     def missing(self) -> str:
         """Return what is missing to serve; empty if nothing."""
-        for mirror in self._essential():
+        for mirror in self._essential_mirrors():
             if not mirror.ready.is_set():
                 return f"no copy of {mirror.kind}"
         return "" if self.routes.table else "no configuration"
@@ -259,7 +265,7 @@
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.leaving.set())
-        signal.signal(signal.SIGHUP, lambda *_: self.asked.set())
+        signal.signal(signal.SIGHUP, lambda *_: self.reload_requested.set())
         for mirror in self.mirrors.values():
             _start(mirror.kind, mirror.run, self.stopping)
         for listener in self.listeners():
@@ -279,11 +285,16 @@
             self.random,
         )
         _start("announce", announcer.run, self.stopping)
-        _start("shifts", self._every, ROUND_S, self.shifts.round)
+        _start("shifts", self._run_every, ROUND_S, self.shifts.round)
         _start("suspects", self.suspects.run, self.stopping)
-        _start("lapsed", self._every, LAPSED_S, self._drop_lapsed)
         _start(
-            "housekeeping", self._every, HOUSEKEEPING_S, self._run_housekeeping
+            "lapsed", self._run_every, LAPSE_CHECK_INTERVAL_S, self._drop_lapsed
+        )
+        _start(
+            "housekeeping",
+            self._run_every,
+            HOUSEKEEPING_INTERVAL_S,
+            self._run_housekeeping,
         )
         log.info("started", profile=self.settings.config)
         for path in paths_over_bound(self.host.bounds):
@@ -296,25 +307,25 @@
                 worst_s=round(path.worst_s, 3),
             )
         while not self.leaving.wait(LOOK_S):
-            asked = self.asked.is_set()
-            self.asked.clear()
+            asked = self.reload_requested.is_set()
+            self.reload_requested.clear()
             self.watch.look(asked=asked)
-        return self._leave()
+        return self._drain()
 
-    def _leave(self) -> int:
+    def _drain(self) -> int:
         log.info("leaving", active=self.callers.active.value)
         start = time.monotonic()
         end = start + self.host.bounds.grace_s - GRACE_MARGIN_S
         time.sleep(min(LINGER_S, self.host.bounds.grace_s / 2))
         self.callers.shut()
         while time.monotonic() < end and self.callers.active.value:
-            time.sleep(LEAVE_POLL_S)
+            time.sleep(DRAIN_POLL_INTERVAL_S)
         left = self.callers.active.value
         self.stopping.set()
         log.info("stopped", requests_left=left)
         return left
 
-    def _essential(self) -> list[Mirror]:
+    def _essential_mirrors(self) -> list[Mirror]:
         """Return the mirrors without whose copies nothing can be routed."""
         return [
             self.mirrors[kind]
@@ -322,7 +333,7 @@
             if kind in self.mirrors
         ]
 
-    def _inspection(self) -> InspectionPort | None:
+    def _build_inspection(self) -> InspectionPort | None:
         if not self.settings.metrics_port:
             return None
         address = (self.host.address, self.settings.metrics_port)
@@ -330,14 +341,14 @@
             address, self.state, self.gateway.metrics, self.api
         )
 
-    def _gateway(self) -> Gateway:
+    def _build_gateway(self) -> Gateway:
         chooser = Chooser(self.directory, self.host.failure_domain, self.random)
         chooser.pacer = Pacer(
             self.host.instance,
             lambda: self.routers.entries,
             self.mirrors[KIND_ROUTERS].ready.is_set,
             self.routes.limits,
-            self._bounds,
+            self._get_bounds,
             self.started,
         )
         self.shifts.admits = chooser.admits
@@ -359,8 +370,8 @@
         extra = bounds.retry_extra / routers
         return RetryTerms(bounds.retry_ratio, extra, bounds.retry_window_s)
 
-    def _mirrors(self) -> dict[str, Mirror]:
-        self.health = store_health(self._bounds, STEADY)
+    def _build_mirrors(self) -> dict[str, Mirror]:
+        self.health = build_store_health(self._get_bounds, STEADY)
         listeners: dict[str, Listener] = {
             KIND_CONFIGURATION: PerObjectListener(self.routes.apply),
             KIND_INSTANCES: InstanceListener(self.directory),
@@ -379,31 +390,31 @@
             self.health,
             self.routers.pull,
             self.random,
-            Pace(
-                self._bounds,
+            MirrorPacing(
+                self._get_bounds,
                 lambda: bool(self.shifts.running),
-                self._reports_pause,
+                self._reports_pause_s,
             ),
         )
 
-    def _look_at(self, instance: UpstreamInstance) -> AddressCheck:
+    def _check_address(self, instance: UpstreamInstance) -> AddressCheck:
         """Ask at an instance's address, naming it, whether it lives."""
         path = self.routes.health_path(instance.entry.service)
         return check_address(instance.entry, path)
 
-    def _bounds(self) -> Bounds:
+    def _get_bounds(self) -> Bounds:
         return self.host.bounds
 
-    def _first_peers(self) -> tuple[str, ...]:
+    def _get_first_peers(self) -> tuple[str, ...]:
         return self.host.first_peers
 
-    def _reports_pause(self) -> float:
+    def _reports_pause_s(self) -> float:
         routers = self.routers.count()
         return reports_pause_s(
             routers,
             self.host.platform_reads_per_s,
             hurried=self.shifts.hurried,
-            followed=is_worthwhile(routers, self.host.bounds),
+            relayed=relay_reduces_calls(routers, self.host.bounds),
         )
 
     def _run_housekeeping(self) -> None:
@@ -416,7 +427,9 @@
             self.directory.drop_lapsed()
             self.cordons.settle()
 
-    def _every(self, interval_s: float, function: Callable[[], None]) -> None:
+    def _run_every(
+        self, interval_s: float, function: Callable[[], None]
+    ) -> None:
         """Run a function again and again until the daemon stops.
 
         An error in one round is logged and the rounds go on: a task that
--- a/lacewingdock/daemons/router_announce.py
+++ b/lacewingdock/daemons/router_announce.py
@@ -16,7 +16,7 @@
 ANNOUNCE_RETRY_S: Final = 1.0
 # After the store's return from a copy all routers announce themselves again;
 # that takes at most this part of the platform's writes a second.
-ANNOUNCE_WRITES_PART: Final = 0.2
+ANNOUNCE_WRITES_SHARE: Final = 0.2
 
 
 class Announcer:
@@ -53,7 +53,7 @@
         while not stopping.is_set():
             if self.routers.due.wait(wait_s):
                 self.routers.due.clear()
-                stopping.wait(self._spread_s())
+                stopping.wait(self._jitter_s())
             if not self.routers.announce():
                 wait_s = ANNOUNCE_RETRY_S
                 continue
@@ -61,9 +61,9 @@
             # Spread, so that not all remove what is gone at once.
             wait_s = ANNOUNCE_EVERY_S * self.random.uniform(0.5, 1.0)
 
-    def _spread_s(self) -> float:
+    def _jitter_s(self) -> float:
         """Return how long to wait where all routers announce themselves."""
-        writes_per_s = self.host().platform_writes_per_s * ANNOUNCE_WRITES_PART
+        writes_per_s = self.host().platform_writes_per_s * ANNOUNCE_WRITES_SHARE
         return self.random.uniform(0.0, self.routers.count() / writes_per_s)
 
     def _remove_gone(self) -> None:
--- a/lacewingdock/daemons/router_mirrors.py
+++ b/lacewingdock/daemons/router_mirrors.py
@@ -34,7 +34,7 @@
 # Nothing is bound to a moment by these: addresses matter in outages only, and a
 # version that is found bad is told by datagrams. Watches that may be seconds
 # behind cost a tenth and do not count towards the platform's rate of reads.
-STALE_KINDS: Final = (KIND_ROUTERS, KIND_REPORTS)
+UNBOUNDED_KINDS: Final = (KIND_ROUTERS, KIND_REPORTS)
 # Routers come and go rarely, and their addresses matter only in an outage.
 ROUTERS_WATCH_S: Final = 20.0
 # An order that is seen late starts late, and may end after its time; a watch
@@ -46,11 +46,11 @@
 ROUTERS_PAUSE_S: Final = 1.0
 # A large fleet gathers them longer, so that reading them takes at most this
 # part of the platform's reads: 6 s at 1,200 routers and 2,000 reads a second.
-REPORTS_READS_PART: Final = 0.1
+REPORTS_READS_SHARE: Final = 0.1
 
 
 @dataclass(slots=True)
-class Pace:
+class MirrorPacing:
     """What the pace of a router's mirrors hangs on.
 
     Attributes:
@@ -64,7 +64,9 @@
     reports_pause_s: Callable[[], float]
 
 
-def store_health(bounds: Callable[[], Bounds], clock: Clock) -> StoreHealth:
+def build_store_health(
+    bounds: Callable[[], Bounds], clock: Clock
+) -> StoreHealth:
     """Return the health of the store, before any call.
 
     Args:
@@ -80,7 +82,7 @@
 
 
 def reports_pause_s(
-    routers: int, reads_per_s: float, *, hurried: bool, followed: bool
+    routers: int, reads_per_s: float, *, hurried: bool, relayed: bool
 ) -> float:
     """Return for how long reports of a roll-out are gathered for one call.
 
@@ -88,11 +90,11 @@
         routers: How many there are.
         reads_per_s: What the platform bears of the whole fleet.
         hurried: Whether they are waited for.
-        followed: Whether a few routers read them for all.
+        relayed: Whether a few routers read them for all.
     """
-    if followed:
+    if relayed:
         return CHANGES_PAUSE_S if hurried else REPORTS_PAUSE_S
-    return max(REPORTS_PAUSE_S, routers / (reads_per_s * REPORTS_READS_PART))
+    return max(REPORTS_PAUSE_S, routers / (reads_per_s * REPORTS_READS_SHARE))
 
 
 def build_mirrors(
@@ -101,7 +103,7 @@
     health: StoreHealth,
     pull: Callable[[str, int], Copy],
     source: random.Random,
-    pace: Pace,
+    pace: MirrorPacing,
     clock: Clock = STEADY,
 ) -> dict[str, Mirror]:
     """Return the mirrors of a router by kind; each is a task of its own.
@@ -132,7 +134,7 @@
         )
         for kind, listener in listeners.items()
     }
-    for kind in STALE_KINDS:
+    for kind in UNBOUNDED_KINDS:
         mirrors[kind].stale = True
     mirrors[KIND_INSTANCES].wait_s = lambda: entries_watch_s(pace.bounds())
     mirrors[KIND_ROUTERS].wait_s = lambda: ROUTERS_WATCH_S
--- a/lacewingdock/daemons/router_relay.py
+++ b/lacewingdock/daemons/router_relay.py
@@ -15,10 +15,10 @@
 from lacewingdock.components.relay.watcher_ranking import reduces_calls
 from lacewingdock.components.routers import Routers
 from lacewingdock.daemons.router_timing import (
-    BACK_LOOK_S,
     CHANGES_PAUSE_S,
+    RECOVERY_CHECK_INTERVAL_S,
     entries_watch_s,
-    follow_cordons_s,
+    follow_cordons_limit_s,
     follow_limit_s,
     outage_pause_s,
     renew_s,
@@ -33,7 +33,7 @@
 from lacewingdock.world.host import Bounds
 
 # Kinds on which a bound hangs, and orders, which start late if seen late.
-BOUND_KINDS: Final = (
+BOUNDED_KINDS: Final = (
     KIND_CONFIGURATION,
     KIND_INSTANCES,
     KIND_SHIFTS,
@@ -41,7 +41,7 @@
 )
 # How old a copy of another kind may grow by the watchers' word: longer than
 # any watch of such a kind waits.
-LOOSE_LIMIT_S: Final = 30.0
+UNBOUNDED_KINDS_LIMIT_S: Final = 30.0
 
 
 @dataclass(slots=True)
@@ -76,20 +76,20 @@
         clock: The time it goes by.
     """
 
-    def is_used() -> bool:
-        return is_worthwhile(routers.count(), bounds())
+    def is_enabled() -> bool:
+        return relay_reduces_calls(routers.count(), bounds())
 
     def limit_s(kind: str) -> float:
-        if not is_used():
+        if not is_enabled():
             return 0.0
         if kind == KIND_CORDONS:
-            return follow_cordons_s(bounds())
-        if kind in BOUND_KINDS:
+            return follow_cordons_limit_s(bounds())
+        if kind in BOUNDED_KINDS:
             return follow_limit_s(bounds())
-        return LOOSE_LIMIT_S
+        return UNBOUNDED_KINDS_LIMIT_S
 
-    def most_age_s(kind: str) -> float:
-        if not is_used() or not follower.watches:
+    def max_age_s(kind: str) -> float:
+        if not is_enabled() or not follower.watches:
             return math.inf
         return renew_s(bounds(), limit_s(kind))
 
@@ -105,14 +105,14 @@
     for kind, mirror in mirrors.items():
         mirror.fresh_for_s = _fresh_for_s(follower, health, kind)
         mirror.defer_call_s = _defer_call_s(follower, health, mirror, bounds)
-        if kind in BOUND_KINDS:
-            mirror.renew_s = functools.partial(most_age_s, kind)
+        if kind in BOUNDED_KINDS:
+            mirror.renew_s = functools.partial(max_age_s, kind)
     health.others_doubt = lambda: follower.doubtful
     health.on_answer = follower.record_store_answer
     return Relay(follower, Watcher(routers.name, mirrors, health, clock))
 
 
-def is_worthwhile(routers: int, bounds: Bounds) -> bool:
+def relay_reduces_calls(routers: int, bounds: Bounds) -> bool:
     """Whether a fleet makes fewer calls with a few watchers."""
     if renew_s(bounds) <= 0.0:
         return False
@@ -151,10 +151,12 @@
     def defer_call_s() -> float:
         if not health.away:
             return 0.0
-        is_spared = follower.defers_to_watchers(mirror.called_at)
-        probes = mirror.kind == KIND_INSTANCES and not is_spared
+        is_deferred = follower.defers_to_watchers(mirror.called_at)
+        probes = mirror.kind == KIND_INSTANCES and not is_deferred
         due_at = mirror.called_at + outage_pause_s(bounds())
         left_s = due_at - mirror.clock.now()
-        return 0.0 if probes else min(max(left_s, 0.0), BACK_LOOK_S)
+        return (
+            0.0 if probes else min(max(left_s, 0.0), RECOVERY_CHECK_INTERVAL_S)
+        )
 
     return defer_call_s
--- a/lacewingdock/daemons/router_return.py
+++ b/lacewingdock/daemons/router_restore.py
@@ -10,7 +10,7 @@
 from lacewingdock.world.host import Bounds
 
 # Intervals of silence after which an instance's entry runs out.
-RUN_OUT_INTERVALS: Final = 3
+ENTRY_EXPIRY_INTERVALS: Final = 3
 
 
 def on_return(
@@ -32,16 +32,16 @@
 
     def returned() -> None:
         health.restored()
-        directory.hold_older_entries(held_s(bounds()))
+        directory.hold_older_entries(hold_older_entries_s(bounds()))
         suspects.republish()
         routers.due.set()
 
     return returned
 
 
-def held_s(bounds: Bounds) -> float:
+def hold_older_entries_s(bounds: Bounds) -> float:
     """Return for how long older entries are held back, in seconds.
 
     Until those that nobody writes again have run out, and that was seen.
     """
-    return RUN_OUT_INTERVALS * bounds.renewal_s + LAPSE_S
+    return ENTRY_EXPIRY_INTERVALS * bounds.renewal_s + LAPSE_S
--- a/lacewingdock/daemons/router_state.py
+++ b/lacewingdock/daemons/router_state.py
@@ -30,7 +30,7 @@
 from lacewingdock.world.host import HostProfile
 
 
-class Observed(Protocol):
+class InspectedRouter(Protocol):
     """What of a router is told; see `RouterDaemon`."""
 
     host: HostProfile
@@ -53,7 +53,7 @@
         """Return what is missing to serve."""
 
 
-def router_state(router: Observed) -> RouterState:
+def router_state(router: InspectedRouter) -> RouterState:
     """Return what a router believes now."""
     host, table, relay = router.host, router.routes.table, router.relay
     prober = router.gateway.chooser.prober
--- a/lacewingdock/daemons/router_timing.py
+++ b/lacewingdock/daemons/router_timing.py
@@ -37,16 +37,16 @@
 # list, and the turns of a busy router's other tasks.
 ANSWER_S: Final = 0.2
 # What is left over of the contact time where a watch is as long as it may be.
-SPARE_S: Final = 0.1
+WATCH_MARGIN_S: Final = 0.1
 # The shortest watch, where the contact time leaves less: a call each fifth of a
 # second is what the platform's rates bear of a few routers.
 MIN_WATCH_S: Final = 0.2
 # How often a kind that is not asked for in an outage looks whether another one
 # was answered.
-BACK_LOOK_S: Final = 0.1
+RECOVERY_CHECK_INTERVAL_S: Final = 0.1
 # What is left over where a router asks the store since its copy grew too old:
 # it may be busy, and have fallen asleep a moment before.
-FOLLOW_SPARE_S: Final = 0.2
+FOLLOW_MARGIN_S: Final = 0.2
 # A watcher that had to call more often would be one of the platform's burdens.
 MIN_RENEW_S: Final = 0.3
 # Sums of seconds are rounded.
@@ -54,10 +54,10 @@
 # An entry runs out after three intervals of silence, so after an outage of two.
 LAPSE_INTERVALS: Final = 2
 # How often it is looked whether doubt is over.
-LAPSED_S: Final = 0.2
+LAPSE_CHECK_INTERVAL_S: Final = 0.2
 # Doubt ends this long before the contact time does: a look, and what a busy
 # router takes for it.
-DOUBT_SPARE_S: Final = LAPSED_S + 0.1
+DOUBT_MARGIN_S: Final = LAPSE_CHECK_INTERVAL_S + 0.1
 
 
 def watch_s(bounds: Bounds) -> float:
@@ -76,15 +76,15 @@
     A cordon that a disturbance hid was set after it began, so its own bound
     holds where that is the longer one. Fewer calls a watcher are the gain.
     """
-    return _longest_watch_s(_cordon_known_s(bounds))
+    return _longest_watch_s(_disturbed_cordon_s(bounds))
 
 
 def _longest_watch_s(within_s: float) -> float:
-    rest = CHANGES_PAUSE_S + WATCH_GRACE_S + RETRY_S + ANSWER_S + SPARE_S
+    rest = CHANGES_PAUSE_S + WATCH_GRACE_S + RETRY_S + ANSWER_S + WATCH_MARGIN_S
     return max(within_s - rest, MIN_WATCH_S)
 
 
-def _cordon_known_s(bounds: Bounds) -> float:
+def _disturbed_cordon_s(bounds: Bounds) -> float:
     """Return the seconds in which a cordon must be known, if disturbed."""
     return max(bounds.contact_s, bounds.cordon_s)
 
@@ -114,15 +114,15 @@
     return _follow_limit_s(bound_s, bounds.contact_s)
 
 
-def follow_cordons_s(bounds: Bounds) -> float:
+def follow_cordons_limit_s(bounds: Bounds) -> float:
     """Return how old a copy of cordons may grow so, in seconds."""
     bound_s = bounds.cordon_s - CONNECT_S
-    return _follow_limit_s(bound_s, _cordon_known_s(bounds))
+    return _follow_limit_s(bound_s, _disturbed_cordon_s(bounds))
 
 
 def _follow_limit_s(bound_s: float, disturbed_s: float) -> float:
-    silent_s = POLL_TIMEOUT_S + RETRY_S + ANSWER_S + FOLLOW_SPARE_S
-    return min(bound_s - ANSWER_S - FOLLOW_SPARE_S, disturbed_s - silent_s)
+    silent_s = POLL_TIMEOUT_S + RETRY_S + ANSWER_S + FOLLOW_MARGIN_S
+    return min(bound_s - ANSWER_S - FOLLOW_MARGIN_S, disturbed_s - silent_s)
 
 
 def renew_s(bounds: Bounds, limit_s: float | None = None) -> float:
@@ -136,13 +136,16 @@
         limit_s: How old a follower's copy may grow; by default that of the
             kinds with the shortest bounds.
     """
-    reports_s = sum(one.seconds for one in _delays_of_reports(_PASSED_ON))
+    reports_s = sum(one.seconds for one in _delays_of_reports(_RELAY_DELAYS))
     if reports_s > bounds.rollback_s:
         return 0.0
     if limit_s is None:
         limit_s = follow_limit_s(bounds)
     left_s = (
-        limit_s * MIN_LIMIT_PART - 2 * QUERY_INTERVAL_S - ANSWER_S - SPARE_S
+        limit_s * MIN_LIMIT_PART
+        - 2 * QUERY_INTERVAL_S
+        - ANSWER_S
+        - WATCH_MARGIN_S
     )
     return left_s if left_s >= MIN_RENEW_S else 0.0
 
@@ -156,16 +159,16 @@
     rest = (
         POLL_TIMEOUT_S
         + ROUTERS_PER_PULL * PULL_TIMEOUT_S
-        + BACK_LOOK_S
+        + RECOVERY_CHECK_INTERVAL_S
         + ANSWER_S
-        + SPARE_S
+        + WATCH_MARGIN_S
     )
     return max(bounds.contact_s - rest, RETRY_LIMIT_S)
 
 
 def doubt_s(bounds: Bounds) -> float:
     """Return how long after a failed call missing entries may be doubted."""
-    return bounds.contact_s - DOUBT_SPARE_S
+    return bounds.contact_s - DOUBT_MARGIN_S
 
 
 def restored_doubt_s(bounds: Bounds) -> float:
@@ -175,7 +178,7 @@
     is the earliest moment at which that can have been. An entry that goes once
     the contact time is over must be left within the time for that.
     """
-    rest_s = CHANGES_PAUSE_S + ANSWER_S + DOUBT_SPARE_S
+    rest_s = CHANGES_PAUSE_S + ANSWER_S + DOUBT_MARGIN_S
     return bounds.contact_s + bounds.drain_s - rest_s
 
 
@@ -189,8 +192,8 @@
 
 _PAUSE: Final = Delay("pause between watches", CHANGES_PAUSE_S)
 _ANSWER: Final = Delay("answer", ANSWER_S)
-_HEARD: Final = (_PAUSE, _ANSWER)
-_PASSED_ON: Final = (
+_WATCH_DELAYS: Final = (_PAUSE, _ANSWER)
+_RELAY_DELAYS: Final = (
     Delay("question of a follower", 2 * QUERY_INTERVAL_S),
     Delay("fetch from the watcher", PULL_TIMEOUT_S),
 )
@@ -259,9 +262,12 @@
 def _paths_of_entries(bounds: Bounds) -> list[PropagationPath]:
     promise = "a leaving instance gets no work"
     drain = ("drain", bounds.drain_s)
-    heard = (*_HEARD, Delay("connection to the instance", CONNECT_S))
+    watch_delays = (
+        *_WATCH_DELAYS,
+        Delay("connection to the instance", CONNECT_S),
+    )
     return [
-        PropagationPath(promise, "heard by a watch", heard, *drain),
+        PropagationPath(promise, "heard by a watch", watch_delays, *drain),
         PropagationPath(
             promise,
             "heard after others were asked for a missing entry",
@@ -270,18 +276,20 @@
                     "questions to other routers",
                     ROUTERS_PER_PULL * PULL_TIMEOUT_S,
                 ),
-                *heard,
+                *watch_delays,
             ),
             *drain,
         ),
-        *_disturbed(promise, entries_watch_s(bounds), bounds),
-        *_followed(promise, (Delay("connection", CONNECT_S),), drain, bounds),
+        *_disturbed_paths(promise, entries_watch_s(bounds), bounds),
+        *_relayed_paths(
+            promise, (Delay("connection", CONNECT_S),), drain, bounds
+        ),
         PropagationPath(
             promise,
             "entry missing after an outage",
             (
                 Delay("doubt after the last failed call", doubt_s(bounds)),
-                Delay("look whether doubt is over", LAPSED_S),
+                Delay("look whether doubt is over", LAPSE_CHECK_INTERVAL_S),
             ),
             "contact",
             bounds.contact_s,
@@ -291,7 +299,7 @@
             "entry missing since the store's return from a copy",
             (
                 Delay("doubt after the last answer", restored_doubt_s(bounds)),
-                Delay("look whether doubt is over", LAPSED_S),
+                Delay("look whether doubt is over", LAPSE_CHECK_INTERVAL_S),
             ),
             "contact and drain",
             bounds.contact_s + bounds.drain_s,
@@ -306,17 +314,17 @@
     promise = "a cordoned failure domain gets no work"
     cordon = ("cordon", bounds.cordon_s)
     connection = Delay("connection to the instance", CONNECT_S)
-    heard = (*_HEARD, connection)
-    disturbed = ("cordon", _cordon_known_s(bounds))
+    watch_delays = (*_WATCH_DELAYS, connection)
+    disturbed = ("cordon", _disturbed_cordon_s(bounds))
     return [
-        PropagationPath(promise, "heard by a watch", heard, *cordon),
-        *_disturbed(promise, cordons_watch_s(bounds), bounds, disturbed),
-        *_followed(
+        PropagationPath(promise, "heard by a watch", watch_delays, *cordon),
+        *_disturbed_paths(promise, cordons_watch_s(bounds), bounds, disturbed),
+        *_relayed_paths(
             promise,
             (connection,),
             cordon,
             bounds,
-            follow_cordons_s(bounds),
+            follow_cordons_limit_s(bounds),
             disturbed,
         ),
     ]
@@ -326,40 +334,40 @@
     promise = "a configuration is in force"
     return [
         PropagationPath(
-            promise, "heard by a watch", _HEARD, "apply", bounds.apply_s
+            promise, "heard by a watch", _WATCH_DELAYS, "apply", bounds.apply_s
         ),
         PropagationPath(
             "a key that was taken away opens nothing",
             "heard by a watch",
-            _HEARD,
+            _WATCH_DELAYS,
             "revoke",
             bounds.revoke_s,
         ),
-        *_disturbed(promise, watch_s(bounds), bounds),
-        *_followed(promise, (), ("apply", bounds.apply_s), bounds),
+        *_disturbed_paths(promise, watch_s(bounds), bounds),
+        *_relayed_paths(promise, (), ("apply", bounds.apply_s), bounds),
     ]
 
 
 def _paths_of_roll_outs(bounds: Bounds) -> list[PropagationPath]:
-    judged = Delay("round of judging", ROUND_S)
-    written = Delay("write", ANSWER_S)
+    evaluation = Delay("round of judging", ROUND_S)
+    write = Delay("write", ANSWER_S)
     return [
-        *_paths_of_a_bad_version(bounds),
+        *_paths_of_bad_version(bounds),
         PropagationPath(
             "a good version is completed by its deadline",
             "completion is forced",
-            (judged, written),
+            (evaluation, write),
             "time kept before the deadline",
             FORCE_BEFORE_S,
         ),
     ]
 
 
-def _paths_of_a_bad_version(bounds: Bounds) -> list[PropagationPath]:
+def _paths_of_bad_version(bounds: Bounds) -> list[PropagationPath]:
     paths = {"reports in the store": _delays_of_reports(())}
     if renew_s(bounds) > 0.0:
-        passed_on = _delays_of_reports(_PASSED_ON)
-        paths["reports that a watcher reads"] = passed_on
+        relay_delays = _delays_of_reports(_RELAY_DELAYS)
+        paths["reports that a watcher reads"] = relay_delays
     return [
         PropagationPath(
             "a bad version gets nothing after fifty bad answers",
@@ -372,23 +380,23 @@
     ]
 
 
-def _delays_of_reports(passed_on: tuple[Delay, ...]) -> tuple[Delay, ...]:
-    judged = Delay("round of judging", ROUND_S)
-    written = Delay("write", ANSWER_S)
+def _delays_of_reports(relay_delays: tuple[Delay, ...]) -> tuple[Delay, ...]:
+    evaluation = Delay("round of judging", ROUND_S)
+    write = Delay("write", ANSWER_S)
     return (
         Delay("pause between reports of bad answers", REPORT_BAD_S),
-        judged,
-        written,
+        evaluation,
+        write,
         Delay("pause between watches of reports", REPORTS_PAUSE_S),
         _ANSWER,
-        *passed_on,
-        judged,
-        written,
+        *relay_delays,
+        evaluation,
+        write,
         _ANSWER,
     )
 
 
-def _disturbed(
+def _disturbed_paths(
     promise: str,
     wait_s: float,
     bounds: Bounds,
@@ -422,7 +430,9 @@
                     ROUTERS_PER_PULL * PULL_TIMEOUT_S,
                 ),
                 Delay("longest pause in an outage", outage_pause_s(bounds)),
-                Delay("look whether the store is back", BACK_LOOK_S),
+                Delay(
+                    "look whether the store is back", RECOVERY_CHECK_INTERVAL_S
+                ),
                 _ANSWER,
             ),
             *contact,
@@ -430,7 +440,7 @@
     ]
 
 
-def _followed(
+def _relayed_paths(
     promise: str,
     then: tuple[Delay, ...],
     bound: tuple[str, float],
@@ -443,10 +453,10 @@
         return []
     if limit_s is None:
         limit_s = follow_limit_s(bounds)
-    told = (*_HEARD, *_PASSED_ON)
+    relayed = (*_WATCH_DELAYS, *_RELAY_DELAYS)
     old = (
         Delay("age at which a follower asks the store", limit_s),
-        Delay("look at the age", FOLLOW_SPARE_S),
+        Delay("look at the age", FOLLOW_MARGIN_S),
     )
     again = (
         Delay("call that hangs", POLL_TIMEOUT_S),
@@ -454,7 +464,7 @@
     )
     contact = within or ("contact", bounds.contact_s)
     return [
-        PropagationPath(promise, "told by a watcher", told + then, *bound),
+        PropagationPath(promise, "told by a watcher", relayed + then, *bound),
         PropagationPath(
             promise, "watchers say nothing", (*old, _ANSWER, *then), *bound
         ),
--- a/lacewingdock/daemons/sidecar.py
+++ b/lacewingdock/daemons/sidecar.py
@@ -28,18 +28,22 @@
     daemon = Daemon(settings)
     links = peers.setup(daemon)
     config = configuration.setup(daemon, links)
-    held = None
+    partition_claims = None
     if settings.service:
-        held = claims.setup(daemon, links, config, settings.service)
+        partition_claims = claims.setup(daemon, links, config, settings.service)
     suspects = quarantine.setup(daemon, links, config)
     bills = billing.setup(daemon, links, config)
-    work = runs.setup(daemon, settings, links, config, held, suspects, bills)
-    if held is not None:
-        held.on_change = work.announce
-        held.start()
+    work = runs.setup(
+        daemon, settings, links, config, partition_claims, suspects, bills
+    )
+    if partition_claims is not None:
+        partition_claims.on_change = work.announce
+        partition_claims.start()
     metrics.setup(daemon, settings, links, work)
-    beside = engine.setup(daemon, settings.upstream, work, settings.service)
-    orders.setup(daemon, links, None if settings.service else beside)
+    engine_watcher = engine.setup(
+        daemon, settings.upstream, work, settings.service
+    )
+    orders.setup(daemon, links, None if settings.service else engine_watcher)
     admin_port = admin.setup(daemon, config, lambda: bool(work.targets))
     for component in (links, config, suspects, bills, work, admin_port):
         component.start()
--- a/tests/daemons/crash_engines.py
+++ b/tests/daemons/crash_engines.py
@@ -19,7 +19,7 @@
 # The body of the request that ends what runs it.
 BAD = b"ends what runs it"
 # How long it runs before.
-RUNS_S = 0.06
+CRASH_DELAY_S = 0.06
 SLOTS = 4
 # Events of a harmless answer, and the pause between two.
 EVENTS = 4
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class Form:
+class CrashMode:
     """What the end of an engine looks like from outside.
 
     Attributes:
@@ -52,7 +52,7 @@
 
 
 @dataclass
-class Life:
+class EngineRun:
     """One start of an engine.
 
     Attributes:
@@ -83,113 +83,113 @@
         closed: Set at the end.
     """
 
-    def __init__(self, count, form, write, remove):
-        self.form = form
+    def __init__(self, count, crash_mode, write, remove):
+        self.crash_mode = crash_mode
         self.write = write
         self.remove = remove
         self.ended = []
-        self.lives = {}
+        self.runs = {}
         self.ids = itertools.count(1)
         self.closed = threading.Event()
         self.errors = itertools.count(1)
         for _ in range(count):
             listener = socket.create_server(("127.0.0.1", 0))
             port = listener.getsockname()[1]
-            _start(self._live, listener, port)
+            _start(self._run_engine, listener, port)
 
     def close(self):
         self.closed.set()
 
     def end(self, count):
         """End some engines at once, as a loss of power of their hosts does."""
-        alive = [one for one in self.lives.values() if not one.ended.is_set()]
-        for life in alive[:count]:
-            self._end(life)
+        alive = [one for one in self.runs.values() if not one.ended.is_set()]
+        for run in alive[:count]:
+            self._end(run)
 
     def reset(self):
         """Reset the connections of all, which live on."""
-        for life in self.lives.values():
-            for sock in list(life.open):
+        for run in self.runs.values():
+            for sock in list(run.open):
                 _reset(sock)
 
-    def _live(self, listener, port):
+    def _run_engine(self, listener, port):
         """Live again and again at one address."""
         while not self.closed.is_set():
-            life = Life(f"i-{next(self.ids)}")
-            self.lives[port] = life
-            self.write(life.name, port)
-            self._accept(life, listener)
+            run = EngineRun(f"i-{next(self.ids)}")
+            self.runs[port] = run
+            self.write(run.name, port)
+            self._accept(run, listener)
             listener.close()
-            if self.form.stale_s is not None:
-                _later(self.form.stale_s, self.remove, life.name)
-            if self.closed.wait(self.form.back_s):
+            if self.crash_mode.stale_s is not None:
+                _later(self.crash_mode.stale_s, self.remove, run.name)
+            if self.closed.wait(self.crash_mode.back_s):
                 return
             listener = _listen(port)
 
-    def _accept(self, life, listener):
+    def _accept(self, run, listener):
         listener.settimeout(0.02)
         until = None
         while not self.closed.is_set():
-            if until is None and life.ended.is_set():
-                until = time.monotonic() + self.form.port_s
+            if until is None and run.ended.is_set():
+                until = time.monotonic() + self.crash_mode.port_s
             if until is not None and time.monotonic() >= until:
                 return
             try:
                 sock, _ = listener.accept()
             except TimeoutError:
                 continue
-            if life.ended.is_set():
-                _later(self.form.hangs_s, _reset, sock)
+            if run.ended.is_set():
+                _later(self.crash_mode.hangs_s, _reset, sock)
             else:
-                life.open.add(sock)
-                _start(self._serve, life, sock)
+                run.open.add(sock)
+                _start(self._serve, run, sock)
 
-    def _serve(self, life, sock):
+    def _serve(self, run, sock):
         with contextlib.suppress(OSError), sock:
             while (found := read_request(sock)) is not None:
                 _, headers, body = found
-                if life.ended.is_set():
+                if run.ended.is_set():
                     return
-                self._answer(life, sock, headers, body)
+                self._answer(run, sock, headers, body)
 
-    def _answer(self, life, sock, headers, body):
+    def _answer(self, run, sock, headers, body):
         call_id = headers.get(b"attempt-id", b"")
-        named = headers.get(b"expect-instance", life.name.encode())
-        own_id = b"Instance-Id: " + life.name.encode() + b"\r\n"
-        if named != life.name.encode():
-            extra = b"Not-Executed: 1\r\n" + own_id
+        named = headers.get(b"expect-instance", run.name.encode())
+        instance_header = b"Instance-Id: " + run.name.encode() + b"\r\n"
+        if named != run.name.encode():
+            extra = b"Not-Executed: 1\r\n" + instance_header
             status = b"421 Misdirected"
             sock.sendall(ok(call_id, b"another", extra, status))
             return
         if not call_id:
-            sock.sendall(ok(b"", b"well", own_id))
+            sock.sendall(ok(b"", b"well", instance_header))
             return
-        with life.slots:
-            if life.ended.is_set():
+        with run.slots:
+            if run.ended.is_set():
                 return
             if body != BAD:
                 _stream(sock, call_id)
-            elif self.form.error_in and not (
-                next(self.errors) % self.form.error_in
+            elif self.crash_mode.error_in and not (
+                next(self.errors) % self.crash_mode.error_in
             ):
                 sock.sendall(ok(call_id, b"failed", b"", b"500 Error"))
             else:
-                self._crash(life, sock, call_id)
+                self._crash(run, sock, call_id)
 
-    def _crash(self, life, sock, call_id):
-        first = _FIRST[self.form.first](call_id)
+    def _crash(self, run, sock, call_id):
+        first = _FIRST[self.crash_mode.first](call_id)
         if first:
             sock.sendall(first)
-        time.sleep(RUNS_S)
-        if life.ended.is_set():
+        time.sleep(CRASH_DELAY_S)
+        if run.ended.is_set():
             return
         self.ended.append((time.monotonic(), call_id.decode()))
-        self._end(life)
+        self._end(run)
 
-    def _end(self, life):
-        life.ended.set()
-        for one in list(life.open):
-            if self.form.soft or self.form.first == "bare head":
+    def _end(self, run):
+        run.ended.set()
+        for one in list(run.open):
+            if self.crash_mode.soft or self.crash_mode.first == "bare head":
                 with contextlib.suppress(OSError):
                     one.shutdown(socket.SHUT_RDWR)
             else:
--- a/tests/daemons/crash_site.py
+++ b/tests/daemons/crash_site.py
@@ -61,7 +61,7 @@
         kinds: Harmless requests that differ.
     """
 
-    def __init__(self, tmp_path, form, routers=ROUTERS, engines=ENGINES):
+    def __init__(self, tmp_path, crash_mode, routers=ROUTERS, engines=ENGINES):
         port = free_port()
         self.platform = start("standins.platform", f"--port={port}")
         self.url = f"http://127.0.0.1:{port}"
@@ -70,7 +70,7 @@
         self.lock = threading.Lock()
         spec = configuration(3, s="streaming")
         self.api.write("config", "main", spec, 0, "test")
-        self.engines = Engines(engines, form, self._write, self._remove)
+        self.engines = Engines(engines, crash_mode, self._write, self._remove)
         self.routers = [Router(tmp_path, port, "r-0")]
         for number in range(1, routers):
             first = self.routers[0].peer
@@ -88,9 +88,11 @@
             self.close()
             raise
 
-    def play(self, seconds):
+    def run_bad_requests(self, seconds):
         """Send copies, and harmless requests beside them; return what came."""
-        return self._play(lambda: time.sleep(seconds), [self.copy])
+        return self._run_callers(
+            lambda: time.sleep(seconds), [self.send_bad_request]
+        )
 
     def disturb(self, times, every_s, action):
         """Do something again and again beside harmless requests alone."""
@@ -100,11 +102,11 @@
                 action()
                 time.sleep(every_s)
 
-        return self._play(disturb, [])
+        return self._run_callers(disturb, [])
 
-    def _play(self, meanwhile, others):
+    def _run_callers(self, meanwhile, others):
         stop = threading.Event()
-        rates = {self.harmless: HARMLESS_EVERY_S}
+        rates = {self.send_harmless: HARMLESS_EVERY_S}
         rates |= dict.fromkeys(others, COPY_EVERY_S)
         tasks = [
             threading.Thread(target=self._send, args=(stop, every_s, ask))
@@ -148,7 +150,7 @@
             return router.call(sock, **fields)[0]
         return 0
 
-    def copy(self, number):
+    def send_bad_request(self, number):
         """Send a copy of the bad request."""
         call_id = f"bad-{len(self.sent)}"
         self.sent[call_id] = time.monotonic()
@@ -156,7 +158,7 @@
         with self.lock:
             self.outcome.bad[status] += 1
 
-    def harmless(self, number):
+    def send_harmless(self, number):
         """Send a request, of which the same comes again after a while."""
         body = b"harmless %d" % (number % self.kinds)
         status = self.ask(number, f"ok-{number}", body)
--- a/tests/daemons/observed_router.py
+++ b/tests/daemons/observed_router.py
@@ -5,9 +5,9 @@
 from lacewingdock.components.shifts.const import KIND_REPORTS
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.sync import InstanceListener
-from lacewingdock.daemons.router import LAPSED_S
-from lacewingdock.daemons.router_mirrors import store_health
-from lacewingdock.daemons.router_return import held_s
+from lacewingdock.daemons.router import LAPSE_CHECK_INTERVAL_S
+from lacewingdock.daemons.router_mirrors import build_store_health
+from lacewingdock.daemons.router_restore import hold_older_entries_s
 from lacewingdock.platform.documents import (
     KIND_CONFIGURATION,
     KIND_CORDONS,
@@ -30,14 +30,14 @@
         health: What is known of the store.
     """
 
-    def __init__(self, time, bounds, look_s):
+    def __init__(self, time, bounds, sample_interval_s):
         self.time = time
         self.bounds = bounds
-        self.look_s = look_s
+        self.sample_interval_s = sample_interval_s
         self.directory = Directory(time)
         self.version = 0
-        self.seen = []
-        self.health = store_health(lambda: bounds, time)
+        self.samples = []
+        self.health = build_store_health(lambda: bounds, time)
 
     def listeners(self):
         """Return what is told of each kind."""
@@ -54,33 +54,33 @@
             found[KIND_CORDONS] = self.cordons
         return found
 
-    def returned(self):
+    def on_store_restored(self):
         """Do what is done when the store is back from a copy."""
         self.health.restored()
-        self.directory.hold_older_entries(held_s(self.bounds))
+        self.directory.hold_older_entries(hold_older_entries_s(self.bounds))
 
     def observe(self):
         """Start the tasks that look."""
         self.time.start(self._drop_lapsed)
-        self.time.start(self._look)
+        self.time.start(self._sample)
 
     def _configure(self, stored):
         self.version = max(self.version, stored.spec["version"])
 
     def _drop_lapsed(self):
         while True:
-            self.time.sleep(LAPSED_S)
+            self.time.sleep(LAPSE_CHECK_INTERVAL_S)
             self.directory.apply_held()
             if not self.health.doubtful:
                 self.directory.drop_lapsed()
                 self.cordons.settle()
 
-    def _look(self):
+    def _sample(self):
         while True:
-            self.time.sleep(self.look_s)
+            self.time.sleep(self.sample_interval_s)
             found = {
                 name
                 for name, one in self.directory.instances.items()
                 if one.open
             }
-            self.seen.append((self.time.now(), found, self.version))
+            self.samples.append((self.time.now(), found, self.version))
--- a/tests/daemons/relay_fleet.py
+++ b/tests/daemons/relay_fleet.py
@@ -15,7 +15,7 @@
 )
 from lacewingdock.daemons.router_mirrors import (
     REPORTS_PAUSE_S,
-    Pace,
+    MirrorPacing,
     build_mirrors,
 )
 from lacewingdock.daemons.router_relay import build_relay
@@ -24,10 +24,10 @@
 from tests.virtual_time import VirtualTime
 
 # A datagram's way, and a busy router's turn.
-TRIP_S = 0.01
+DATAGRAM_DELAY_S = 0.01
 # A fetch between routers: a connection, a question and an answer.
-FETCH_S = 0.03
-LOOK_S = 0.1
+FETCH_DURATION_S = 0.03
+SAMPLE_INTERVAL_S = 0.1
 
 
 @dataclass
@@ -75,7 +75,7 @@
         self.routers = {}
         for name in names:
             mine = (own or {}).get(name)
-            found = joined(troubles, mine) if mine else troubles
+            found = merge_troubles(troubles, mine) if mine else troubles
             self.routers[name] = FleetRouter(
                 self, name, names, written, found, bounds
             )
@@ -102,7 +102,7 @@
         if not self.reaches(sender, receiver):
             return
         if self.draw.random() >= self.net.loss:
-            self.routers[receiver].take(decode(data))
+            self.routers[receiver].receive(decode(data))
 
     def calls(self, since=0.0):
         """Return the calls to the store from a moment on."""
@@ -118,12 +118,12 @@
     """One router of a fleet."""
 
     def __init__(self, fleet, name, names, written, troubles, bounds):
-        super().__init__(fleet.time, bounds, LOOK_S)
+        super().__init__(fleet.time, bounds, SAMPLE_INTERVAL_S)
         self.fleet = fleet
         self.name = name
         self.troubles = troubles
         self.store = SimulatedStore(self.time, written, troubles)
-        self.store.eras.on_return.append(self.returned)
+        self.store.eras.on_return.append(self.on_store_restored)
         self.entries = dict.fromkeys(names)
         self.draw = random.Random(name)
         self.mirrors = build_mirrors(
@@ -132,7 +132,9 @@
             self.health,
             self._pull,
             self.draw,
-            Pace(lambda: bounds, lambda: False, lambda: REPORTS_PAUSE_S),
+            MirrorPacing(
+                lambda: bounds, lambda: False, lambda: REPORTS_PAUSE_S
+            ),
             self.time,
         )
         self.relay = build_relay(
@@ -144,7 +146,7 @@
             self.time,
         )
         for mirror in self.mirrors.values():
-            mirror.on_change = self._tell
+            mirror.on_change = self._announce
 
     def count(self):
         """Return how many routers there are, as `Routers` does."""
@@ -155,7 +157,7 @@
         if not self.fleet.reaches(self.name, router):
             self.time.sleep(PULL_TIMEOUT_S)
             return None
-        self.time.sleep(FETCH_S)
+        self.time.sleep(FETCH_DURATION_S)
         other = self.fleet.routers[router]
         if kind in self.fleet.long_kinds:
             return Copy(not other.health.doubtful, too_long=True)
@@ -171,7 +173,7 @@
         self.time.start(self._relay)
         self.observe()
 
-    def take(self, message):
+    def receive(self, message):
         """Take a message, as `RelayPort` does."""
         if isinstance(message, FreshnessQuery):
             self.relay.follower.record_query()
@@ -180,7 +182,7 @@
         else:
             self.relay.follower.receive_report(message)
 
-    def _tell(self):
+    def _announce(self):
         data = encode(self.relay.watcher.updates())
         for router in self.relay.watcher.listeners():
             self.fleet.send(self.name, router, data)
@@ -188,14 +190,14 @@
     def _relay(self):
         due = self.time.now() + self.draw.uniform(0, QUERY_INTERVAL_S)
         while True:
-            self.time.sleep(LOOK_S)
+            self.time.sleep(SAMPLE_INTERVAL_S)
             if self.relay.follower.updates.is_set():
                 self.relay.follower.fetch_changes()
             if self.time.now() >= due:
                 due = self.time.now() + QUERY_INTERVAL_S
                 if found := self.relay.follower.query():
                     router, query = found
-                    self.time.sleep(TRIP_S)
+                    self.time.sleep(DATAGRAM_DELAY_S)
                     self.fleet.send(self.name, router, encode(query))
 
     def _pull(self, kind, revision):
@@ -217,7 +219,7 @@
         return merge_newest(found, revision)
 
 
-def joined(one, other):
+def merge_troubles(one, other):
     """Return the troubles of the store with those of one router."""
     return Troubles(
         one.outages + other.outages,
--- a/tests/daemons/test_router_cordons.py
+++ b/tests/daemons/test_router_cordons.py
@@ -43,7 +43,7 @@
 def _check_router(router, troubles, net, bounds):
     core = troubles.of_store()
     own = core + router.troubles.of_router() + net.gone.get(router.name, [])
-    for at, found, _ in router.seen:
+    for at, found, _ in router.samples:
         if not undisturbed(own, at, bounds.contact_s):
             continue
         if SET_AT + bounds.cordon_s + ROUNDING_S < at < LIFTED_AT:
@@ -91,7 +91,7 @@
     fleet = check(count, own=dict.fromkeys(names, turned_away))
     # They are not held to the bound, but others' copies are there to be had.
     for name in names:
-        for at, found, _ in fleet.routers[name].seen:
+        for at, found, _ in fleet.routers[name].samples:
             if SET_AT + CORDONED.cordon_s < at < 22.0:
                 assert not found, f"{name}: {found} at {at:.2f}"
 
--- a/tests/daemons/test_router_crashing_requests.py
+++ b/tests/daemons/test_router_crashing_requests.py
@@ -2,29 +2,31 @@
 
 import pytest
 
-from tests.daemons.crash_engines import Form
+from tests.daemons.crash_engines import CrashMode
 from tests.daemons.crash_site import CRASHES, CrashSite
 from tests.waiting import wait
 
 # The third engine ends within a second, the rest is beyond the contact time.
-PLAY_S = 8.0
+SCENARIO_S = 8.0
 
 
 @pytest.mark.parametrize(
-    "form",
+    "crash_mode",
     [
-        pytest.param(Form(first="event"), id="an event first"),
+        pytest.param(CrashMode(first="event"), id="an event first"),
         pytest.param(
-            Form(first="event", soft=True), id="an event first, closed"
+            CrashMode(first="event", soft=True), id="an event first, closed"
         ),
         pytest.param(
-            Form(first="bare head"), id="a head without a length, closed"
+            CrashMode(first="bare head"), id="a head without a length, closed"
+        ),
+        pytest.param(CrashMode(port_s=0.3), id="an open port"),
+        pytest.param(
+            CrashMode(port_s=1.2, hangs_s=1.0), id="a port that hangs"
         ),
-        pytest.param(Form(port_s=0.3), id="an open port"),
-        pytest.param(Form(port_s=1.2, hangs_s=1.0), id="a port that hangs"),
     ],
 )
-def test_request_that_ended_three_engines_is_held_back(tmp_path, form):
+def test_request_that_ended_three_engines_is_held_back(tmp_path, crash_mode):
     """Guards against a crash that leaves no trace, as it isn't a reset alone.
 
     Symptom: one request ends engine after engine, and a third of all others
@@ -32,9 +34,9 @@
     port takes connections for a while. Cause: what was answered in part, or
     closed, did not count as a loss, and an open port counted as life.
     """
-    site = CrashSite(tmp_path, form)
+    site = CrashSite(tmp_path, crash_mode)
     try:
-        found = site.play(PLAY_S)
+        found = site.run_bad_requests(SCENARIO_S)
     finally:
         site.close()
     assert found.ended >= CRASHES
@@ -49,14 +51,14 @@
     Sequence: it is held back by all routers; all are killed and start again.
     Cause: what was known was in their memory, and void in the store.
     """
-    site = CrashSite(tmp_path, Form())
+    site = CrashSite(tmp_path, CrashMode())
     try:
-        before = site.play(3.0).ended
+        before = site.run_bad_requests(3.0).ended
         for router in site.routers:
             router.stop()
             router.start()
         wait(lambda: all(router.is_ready() for router in site.routers))
-        found = site.play(4.0)
+        found = site.run_bad_requests(4.0)
     finally:
         site.close()
     assert before >= CRASHES
@@ -73,7 +75,7 @@
 )
 def test_harmless_requests_are_not_held_back(tmp_path, times, every_s, action):
     """Guards against requests that pay for engines that others ended."""
-    site = CrashSite(tmp_path, Form())
+    site = CrashSite(tmp_path, CrashMode())
     try:
         found = site.disturb(times, every_s, lambda: action(site.engines))
     finally:
--- a/tests/daemons/test_router_mirrors.py
+++ b/tests/daemons/test_router_mirrors.py
@@ -16,7 +16,7 @@
 from lacewingdock.components.routers import PULL_TIMEOUT_S, ROUTERS_PER_PULL
 from lacewingdock.daemons.router_mirrors import (
     REPORTS_PAUSE_S,
-    Pace,
+    MirrorPacing,
     build_mirrors,
 )
 from lacewingdock.platform.documents import (
@@ -35,7 +35,7 @@
 
 BOUNDS = Bounds(contact_s=3.0, drain_s=2.0, apply_s=2.0)
 INSTANCES = ("a", "b", "c", "d")
-LOOK_S = 0.05
+SAMPLE_INTERVAL_S = 0.05
 # Sums of moments are rounded.
 ROUNDING_S = 0.001
 # Entries run out after three intervals of silence, and are back within about
@@ -58,7 +58,7 @@
     }
 
 
-class Others:
+class PeerRouters:
     """The other routers, as one router finds them.
 
     Attributes:
@@ -89,17 +89,19 @@
     """One router, with the others as it finds them."""
 
     def __init__(self, written, troubles, bounds, silent, seed):
-        super().__init__(VirtualTime(), bounds, LOOK_S)
+        super().__init__(VirtualTime(), bounds, SAMPLE_INTERVAL_S)
         self.store = SimulatedStore(self.time, written, troubles)
-        self.store.eras.on_return.append(self.returned)
-        others = Others(self.time, self.store, troubles, silent)
+        self.store.eras.on_return.append(self.on_store_restored)
+        others = PeerRouters(self.time, self.store, troubles, silent)
         self.mirrors = build_mirrors(
             self.listeners(),
             self.store,
             self.health,
             others.pull,
             random.Random(seed),
-            Pace(lambda: bounds, lambda: False, lambda: REPORTS_PAUSE_S),
+            MirrorPacing(
+                lambda: bounds, lambda: False, lambda: REPORTS_PAUSE_S
+            ),
             self.time,
         )
 
@@ -110,7 +112,7 @@
             self.time.start(mirror.run, stopping)
         self.observe()
         self.time.run(until)
-        return self.seen
+        return self.samples
 
 
 def undisturbed(spans, at, contact_s):
@@ -120,7 +122,7 @@
     )
 
 
-def lapses(outage, names, draw):
+def expire_entries(outage, names, draw):
     """Return what an outage does to the entries of instances that live."""
     if not outage.for_all or outage.end - outage.start < 2 * HEARTBEAT_S:
         return []
@@ -137,7 +139,7 @@
     return found
 
 
-def back_in_time(outage, written):
+def restored_in_time(outage, written):
     """Return the instances whose entries are back soon after an outage."""
     back = {
         one.name: one.at for one in written if one.spec and one.at >= outage.end
@@ -174,7 +176,7 @@
     staying = [name for name in INSTANCES if name not in leavers]
     written = first_written()
     for outage in troubles.outages:
-        written += lapses(outage, staying, draw)
+        written += expire_entries(outage, staying, draw)
     for at, name, state in leaving:
         spec = entry(name, state) if state else None
         written.append(Written(at, KIND_INSTANCES, name, spec))
@@ -304,8 +306,8 @@
     """
     outage = Outage(10.0, 10.0 + length_s, silent)
     draw = random.Random(seed)
-    written = first_written() + lapses(outage, INSTANCES, draw)
-    kept = back_in_time(outage, written)
+    written = first_written() + expire_entries(outage, INSTANCES, draw)
+    kept = restored_in_time(outage, written)
     router = Router(written, Troubles([outage]), BOUNDS, False, seed)
     for at, found, _ in router.run(outage.end + 6):
         if at > 1:
--- a/tests/daemons/test_router_relay.py
+++ b/tests/daemons/test_router_relay.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from lacewingdock.components.relay.watcher_ranking import rank_watchers
-from lacewingdock.daemons.router_relay import is_worthwhile
+from lacewingdock.daemons.router_relay import relay_reduces_calls
 from lacewingdock.platform.documents import KIND_CONFIGURATION, KIND_INSTANCES
 from lacewingdock.world.host import Bounds
 from tests.components.mirror.simulated_store import (
@@ -19,10 +19,10 @@
 from tests.daemons.test_router_mirrors import (
     INSTANCES,
     ROUNDING_S,
-    back_in_time,
     entry,
+    expire_entries,
     first_written,
-    lapses,
+    restored_in_time,
     undisturbed,
 )
 
@@ -77,7 +77,7 @@
     written = first_written()
     for outage in troubles.outages:
         staying = [name for name in INSTANCES if name not in leavers]
-        written += lapses(outage, staying, draw)
+        written += expire_entries(outage, staying, draw)
     for at, name, state in leaving:
         spec = entry(name, state) if state else None
         written.append(Written(at, KIND_INSTANCES, name, spec))
@@ -97,7 +97,7 @@
     core = troubles.of_store()
     own = core + router.troubles.of_router()
     own += net.gone.get(router.name, [])
-    for at, found, version in router.seen:
+    for at, found, version in router.samples:
         if not undisturbed(own, at, bounds.contact_s):
             continue
         for left_at, name, _ in leaving:
@@ -127,7 +127,7 @@
     ],
 )
 def test_followed_where_it_pays(count, bounds, used):
-    assert is_worthwhile(count, bounds) is used
+    assert relay_reduces_calls(count, bounds) is used
 
 
 @pytest.mark.parametrize(
@@ -151,7 +151,7 @@
     """All routers know of a change in well under a second."""
     fleet = check([(10.0, "a", None)], [12.0], count=68)
     for router in fleet.routers.values():
-        for at, found, version in router.seen:
+        for at, found, version in router.samples:
             assert at < 11.0 or "a" not in found
             assert at < 13.0 or version == 2
 
@@ -349,12 +349,12 @@
     """
     outage = Outage(10.0, 10.0 + length_s, silent)
     draw = random.Random(seed)
-    written = first_written() + lapses(outage, INSTANCES, draw)
-    kept = back_in_time(outage, written)
+    written = first_written() + expire_entries(outage, INSTANCES, draw)
+    kept = restored_in_time(outage, written)
     fleet = Fleet(ROUTERS, written, Troubles([outage]), LARGE)
     fleet.run(outage.end + 6)
     for router in fleet.routers.values():
-        for at, found, _ in router.seen:
+        for at, found, _ in router.samples:
             if at > 1:
                 assert kept <= found, f"{router.name}: {kept - found} {at:.2f}"
 
@@ -391,6 +391,6 @@
         long_kinds=[KIND_CONFIGURATION],
     )
     for router in fleet.routers.values():
-        for when, _, version in router.seen:
+        for when, _, version in router.samples:
             assert version >= 2 or when < at + 1.5
         assert not router.relay.follower._store_only
--- a/tests/daemons/test_router_restore.py
+++ b/tests/daemons/test_router_restore.py
@@ -27,7 +27,7 @@
     assert written
 
 
-def have_in_force(site, routers):
+def apply_changes(site, routers):
     """Start routers, and have five changes in force that a copy may lack."""
     for router in routers:
         router.start()
@@ -39,7 +39,7 @@
         wait(lambda r=router: r.call(path="/lost/x")[0] == 200, APPLY_S)
 
 
-def come_back(site, lost):
+def restore_store(site, lost):
     """Have the store come back from a copy that lacks the last changes."""
     call("POST", f"{site.url}/restore", {"lost": lost})
 
@@ -57,8 +57,8 @@
     of the history that was lost.
     """
     router = site.first
-    have_in_force(site, [router])
-    come_back(site, 5)
+    apply_changes(site, [router])
+    restore_store(site, 5)
     for number in range(rewritten):
         # Other writers' changes count as well.
         site.api.write("routers-of-others", f"o-{number}", {}, 0, "test")
@@ -91,7 +91,7 @@
     lost = server(other.port) | {"version": "lost"}
     site.api.write("servers", "i-3", lost, 0, "test")
     wait(lambda: '"upstream":"i-3"' in router.log.read_text())
-    come_back(site, 5)
+    restore_store(site, 5)
     for number in range(rewritten):
         site.api.write("routers-of-others", f"o-{number}", {}, 0, "test")
     time.sleep(CONTACT_S)
@@ -122,7 +122,7 @@
     for router in routers:
         wait(router.is_ready)
     wait(lambda: announced(site) == {"r-1", "r-2"})
-    come_back(site, 2)
+    restore_store(site, 2)
     assert announced(site) == set()
     wait(lambda: announced(site) == {"r-1", "r-2"}, CONTACT_S + APPLY_S)
 
@@ -135,9 +135,9 @@
     than the others, and would be asked for the newest copy.
     """
     routers = site.first, site.second
-    have_in_force(site, routers)
+    apply_changes(site, routers)
     os.kill(site.second.popen.pid, signal.SIGSTOP)
-    come_back(site, 5)
+    restore_store(site, 5)
     time.sleep(CONTACT_S)
     configure(site, 20, new="idempotent")
     wait(lambda: site.first.call(path="/new/x")[0] == 200, APPLY_S)
@@ -151,9 +151,9 @@
 def test_several_returns_in_a_row_leave_the_last_configuration_in_force(site):
     """Symptom: a router is deaf since the store came back twice in a second."""
     router = site.first
-    have_in_force(site, [router])
+    apply_changes(site, [router])
     for lost in (2, 3, 1):
-        come_back(site, lost)
+        restore_store(site, lost)
         site.api.write("routers-of-others", f"o-{lost}", {}, 0, "test")
         # What was in force stays so, whatever the copy shows.
         assert router.call(path="/lost/x")[0] == 200
@@ -171,7 +171,7 @@
     wait(site.first.is_ready)
     site.second.start()
     for _ in range(3):
-        come_back(site, 1)
+        restore_store(site, 1)
         time.sleep(0.05)
     found = site.api.read("config", "main", "test")
     if found is None:
--- a/tests/daemons/test_router_timing.py
+++ b/tests/daemons/test_router_timing.py
@@ -109,7 +109,7 @@
         seconds = getattr(router_timing, source)
         monkeypatch.setattr(router_timing, name, replace(part, seconds=seconds))
     parts = (router_timing._PAUSE, router_timing._ANSWER)
-    monkeypatch.setattr(router_timing, "_HEARD", parts)
+    monkeypatch.setattr(router_timing, "_WATCH_DELAYS", parts)
     assert paths_over_bound(SMALL)
 
 
