--- a/lacewingdock/daemons/__init__.py
+++ b/lacewingdock/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Support for the daemons."""
+"""The processes: entry, sidecars and router, and how each is set up."""
--- a/lacewingdock/daemons/entry.py
+++ b/lacewingdock/daemons/entry.py
@@ -1,4 +1,4 @@
-"""Support for the entry daemon, which callers talk to."""
+"""Sets up and runs the entry daemon, which accepts callers' requests."""
 
 from lacewingdock.components import (
     admin,
@@ -38,10 +38,10 @@
     """Run an entry until it is stopped.
 
     Returns:
-        The number of callers that the stop cut off.
+        The number of callers whose requests were cut off by the stop.
 
     Raises:
-        LacewingdockError: It can't start.
+        LacewingdockError: The entry can't start.
     """
     daemon = Daemon(settings)
     links = peers.setup(daemon)
--- a/lacewingdock/daemons/load_sidecar.py
+++ b/lacewingdock/daemons/load_sidecar.py
@@ -1,8 +1,8 @@
-"""Support for a sidecar that knows nothing but its engine's load.
+"""A sidecar that only reports the load of its engine to routers.
 
-On a platform whose upstreams take calls directly no sidecar stands in the way
-of a request, so this one has one component of the sidecar's. It holds nothing
-that must last, and nothing waits for it.
+On a platform whose upstreams accept calls directly, requests do not pass
+through a sidecar, so this one runs a single component. It stores nothing that
+must survive a restart, and no request depends on it.
 """
 
 import os
@@ -32,7 +32,7 @@
 from lacewingdock.platform.profile import parse_sidecar_profile, read_text
 from lacewingdock.world.host import SidecarProfile
 
-# The variable that holds the path of the settings file.
+# Environment variable with the path of the settings file.
 CONFIG_VARIABLE: Final = "LACEWINGDOCK_CONFIG"
 
 log = get_logger("sidecar")
@@ -42,14 +42,14 @@
     """One sidecar process.
 
     Attributes:
-        profile: What the platform says of this instance.
-        gauge: What is known of the engine.
+        profile: Settings of this instance, as the platform writes them.
+        gauge: The latest load of the engine.
         reader: Reads the engine's report.
-        routers: Who may ask.
-        port: Where they do.
-        path: Where the settings file lies.
-        asked: Set when an operator asks for it to be read.
-        stopping: Set when the process shall end.
+        routers: Addresses of the routers that may send load probes.
+        port: UDP port that answers load probes.
+        path: Path of the settings file.
+        reload_requested: Set when an operator requests a reload (SIGHUP).
+        stopping: Set when the process must stop.
     """
 
     __slots__ = (
@@ -64,7 +64,7 @@
     )
 
     def __init__(self, profile: SidecarProfile, path: str) -> None:
-        """Bind the port.
+        """Bind the port for load probes.
 
         Raises:
             LacewingdockError: PORT_TAKEN or BAD_SETTING.
@@ -98,7 +98,7 @@
         host, port = self.profile.engine
         log.info("started", engine=f"{host}:{port}", port=self.profile.port)
         while not self.stopping.wait(LOG_INTERVAL_S):
-            self._log_counters("so far")
+            self._log_counters("probe counters")
         self._log_counters("stopped")
 
     def _log_counters(self, message: str) -> None:
@@ -110,7 +110,7 @@
         )
 
     def _poll_engine(self, stopping: threading.Event) -> None:
-        """Read the engine's report, again and again."""
+        """Read the engine's report once per interval until stopped."""
         is_known = True
         while not stopping.wait(READ_INTERVAL_S):
             asked_at = time.monotonic()
@@ -128,10 +128,10 @@
             is_known = True
 
     def _reload_settings(self, stopping: threading.Event) -> None:
-        """Say what a changed settings file asks for, at an operator's word.
+        """Log which changed settings need a restart when a reload is requested.
 
-        What a sidecar takes from it says which engine is its own and where it
-        listens; only a restart changes that.
+        A sidecar's settings name its engine and its listening address, which
+        only a restart changes, so no setting is applied here.
         """
         while not stopping.wait(LOOK_S):
             if not self.reload_requested.is_set():
@@ -148,7 +148,7 @@
             )
 
     def _changed_settings(self, found: SidecarProfile) -> list[str]:
-        """Return the names of the settings that differ."""
+        """Return the names of the settings that differ from those in use."""
         return [
             one.name
             for one in fields(found)
@@ -156,14 +156,14 @@
         ]
 
     def _refresh_routers(self, stopping: threading.Event) -> None:
-        """Keep the routers known."""
+        """Refresh the addresses of the routers until stopped."""
         while not stopping.is_set():
             self.routers.refresh()
             stopping.wait(MIN_REFRESH_INTERVAL_S)
 
 
 def main() -> None:
-    """Run a sidecar by the environment's settings file."""
+    """Run a sidecar with the settings file that the environment names."""
     path = os.environ.get(CONFIG_VARIABLE, "")
     stream = LogStream(sys.stdout.fileno())
     try:
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -1,7 +1,7 @@
-"""Support for the router daemon, which calls upstreams by itself.
+"""The router daemon, which calls upstreams directly.
 
-It is what runs on a platform whose upstreams take calls directly: no sidecar
-stands in the way, and what must last is in the platform's store alone.
+It runs on platforms whose upstreams accept calls without a sidecar in between.
+All durable state is in the platform's store.
 """
 
 import os
@@ -80,28 +80,28 @@
 if TYPE_CHECKING:
     from lacewingdock.components.inspection.state import RouterState
 
-# Without a copy of these no request can be routed.
+# Kinds of which a router needs a copy before it can route requests.
 ESSENTIAL_KINDS: Final = (
     KIND_CONFIGURATION,
     KIND_INSTANCES,
     KIND_SHIFTS,
     KIND_CORDONS,
 )
-# Of the retries that the fleet may make, each router takes its part as if
-# there were at least this many: it may not know all others yet.
+# Each router's share of the fleet's retry budget is computed for at least this
+# many routers, since it may not know all others yet.
 MIN_ROUTERS: Final = 6
-# A stop serves on this long: the balancer asks once a second and turns away
-# after two answers that are not 200. Where it has nobody else to send callers
-# to it goes on sending them here; a stream that began later than about 3 s
-# after the order could not end within the grace time, so from then on nothing
-# new is accepted.
+# Seconds for which a router accepts requests after the signal to stop: the
+# load balancer checks readiness once per second and stops sending after two
+# answers other than 200. If it has no other router it keeps sending; a stream
+# that begins later than about 3 s after the signal could not end within the
+# grace time, so no new requests are accepted from then on.
 LINGER_S: Final = 2.4
-# What a stop leaves of the grace time for ending the process.
+# Seconds of the grace time that are reserved for ending the process.
 GRACE_MARGIN_S: Final = 0.6
-# How often a stop looks whether its last requests have ended.
+# Seconds between checks whether the last requests have ended during a stop.
 DRAIN_POLL_INTERVAL_S: Final = 0.05
-# How often idle connections are pruned and the part of the retries is taken
-# anew, which `FleetBudget` counts in seconds.
+# Seconds between prunings of idle connections and updates of this router's
+# share of the retry budget; `FleetBudget` counts in seconds, too.
 HOUSEKEEPING_INTERVAL_S: Final = 1.0
 
 log = get_logger("router")
@@ -111,29 +111,30 @@
     """One router process.
 
     Attributes:
-        host: What the platform says of this instance.
-        settings: The command line's settings.
-        watch: Takes changes of the settings file.
-        asked: Set when an operator asks for the settings file to be read.
-        stopping: Set when the process shall end.
-        leaving: Set from the order to stop.
-        api: The platform's store.
+        host: Settings of this instance, as the platform writes them.
+        settings: Settings of the command line.
+        watch: Applies changes of the settings file.
+        reload_requested: Set when an operator requests a reload (SIGHUP).
+        stopping: Set when all tasks must stop.
+        leaving: Set when the signal to stop was received; requests drain.
+        api: Client of the platform's store.
         mirrors: Copies of the platform's objects by kind.
         routes: The routing table.
         directory: The upstream instances.
-        cordons: The failure domains that get nothing new.
+        cordons: Applies cordons; a cordoned failure domain gets no new work.
         shifts: Roll-outs.
         suspects: Requests that were lost at instances.
-        routers: The other routers.
-        gateway: What requests share.
-        callers: The callers' port.
-        ready: The balancer's port.
-        copies: The other routers' port.
-        fleet_load: What the other routers have running.
-        gossip: The port on which routers tell each other.
-        relay: The port on which routers pass the store's news on; None where
-            the platform gives no port for it.
-        inspection: The port of metrics and beliefs; None without.
+        routers: The registry of routers.
+        gateway: The state that all requests share.
+        callers: The port for callers.
+        ready: The port for the load balancer's readiness checks.
+        copies: The port from which other routers fetch copies.
+        fleet_load: The load of the other routers at each instance.
+        gossip: The port on which routers exchange their load.
+        relay: The port on which routers relay changes of the store; None if
+            the settings name no port for it.
+        inspection: The port for metrics and the router's state; None without
+            a metrics port.
         started: Monotonic time of the start.
     """
 
@@ -143,12 +144,12 @@
         settings: RouterSettings,
         sock: socket.socket | None = None,
     ) -> None:
-        """Build the daemon; nothing runs before `run`.
+        """Build all components and open the ports; tasks start in `run`.
 
         Args:
             watch: The settings file and the profile in use.
             settings: The command line's settings.
-            sock: The callers' port where it is open already.
+            sock: The callers' port, if it was opened before the start.
         """
         host = watch.host
         self.host = host
@@ -234,7 +235,7 @@
         self.inspection = self._build_inspection()
 
     def listeners(self) -> list[PortListener]:
-        """Return what accepts connections."""
+        """Return the listeners of all TCP ports."""
         found = [
             self.callers.listener,
             self.ready.listener,
@@ -245,13 +246,13 @@
         return found
 
     def state(self) -> "RouterState":
-        """Return what the router believes now."""
+        """Return the router's current state for inspection."""
         from lacewingdock.daemons.router_state import router_state
 
         return router_state(self)
 
     def missing(self) -> str:
-        """Return what is missing to serve; empty if nothing."""
+        """Return what the router lacks to serve; empty if nothing."""
         for mirror in self._essential_mirrors():
             if not mirror.ready.is_set():
                 return f"no copy of {mirror.kind}"
@@ -261,7 +262,7 @@
         """Serve until SIGTERM or SIGINT, then stop gracefully.
 
         Returns:
-            The number of requests that the stop cut.
+            The number of requests that were cut off by the stop.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.leaving.set())
@@ -326,7 +327,7 @@
         return left
 
     def _essential_mirrors(self) -> list[Mirror]:
-        """Return the mirrors without whose copies nothing can be routed."""
+        """Return the mirrors whose copies are needed to route requests."""
         return [
             self.mirrors[kind]
             for kind in ESSENTIAL_KINDS
@@ -364,7 +365,7 @@
         )
 
     def _retry_terms(self) -> RetryTerms:
-        """Return what this router may make of the fleet's retries."""
+        """Return this router's share of the fleet's retry budget."""
         bounds = self.host.bounds
         routers = max(self.routers.count(), MIN_ROUTERS)
         extra = bounds.retry_extra / routers
@@ -398,7 +399,7 @@
         )
 
     def _check_address(self, instance: UpstreamInstance) -> AddressCheck:
-        """Ask at an instance's address, naming it, whether it lives."""
+        """Check whether this instance still answers at its address."""
         path = self.routes.health_path(instance.entry.service)
         return check_address(instance.entry, path)
 
@@ -430,10 +431,10 @@
     def _run_every(
         self, interval_s: float, function: Callable[[], None]
     ) -> None:
-        """Run a function again and again until the daemon stops.
+        """Run a function periodically until the daemon stops.
 
-        An error in one round is logged and the rounds go on: a task that
-        died unseen would leave its duty undone for good.
+        An error in one round is logged and the next round runs as usual;
+        otherwise an exception would end the task for good, unnoticed.
         """
         while not self.stopping.wait(interval_s):
             try:
@@ -449,13 +450,13 @@
 
     Args:
         settings: The command line's settings.
-        sock: The callers' port where it is open already.
+        sock: The callers' port, if it was opened before the start.
 
     Returns:
-        The number of requests that the stop cut.
+        The number of requests that were cut off by the stop.
 
     Raises:
-        LacewingdockError: It can't start.
+        LacewingdockError: The router can't start.
     """
     threading.stack_size(THREAD_STACK_BYTES)
     text = read_text(settings.config)
@@ -475,13 +476,13 @@
 
 
 def main(sock: socket.socket | None = None) -> None:
-    """Run a router by the environment's settings, without the command line.
+    """Run a router with the environment's settings, without the command line.
 
-    Loading the command line takes processor time in which a restarted router
-    answers nobody.
+    Importing the command line takes processor time during which a restarted
+    router does not answer.
 
     Args:
-        sock: The callers' port where it is open already.
+        sock: The callers' port, if it was opened before the start.
     """
     try:
         left = run_router(load_settings(RouterSettings, {}), sock)
--- a/lacewingdock/daemons/router_announce.py
+++ b/lacewingdock/daemons/router_announce.py
@@ -1,4 +1,4 @@
-"""Support for a router's entry in the store, and for those of routers gone."""
+"""Writes a router's entry to the store and removes those of gone routers."""
 
 import random
 import threading
@@ -12,22 +12,24 @@
 from lacewingdock.world.host import HostProfile
 from lacewingdock.world.router_entry import KIND_ROUTERS
 
-# How soon a failed announcement is tried again; it is needed in outages only.
+# Seconds until a failed announcement is retried. The entry is needed only in
+# outages of the store, when routers fetch copies from each other.
 ANNOUNCE_RETRY_S: Final = 1.0
-# After the store's return from a copy all routers announce themselves again;
-# that takes at most this part of the platform's writes a second.
+# Share of the platform's writes per second that the routers may use, all
+# together, when they announce themselves again after the store was restored
+# from an older copy.
 ANNOUNCE_WRITES_SHARE: Final = 0.2
 
 
 class Announcer:
-    """Announces a router, and removes what is left of those that are gone.
+    """Announces a router, and removes the stored objects of gone routers.
 
     Attributes:
-        host: Returns what the platform says of this instance.
-        routers: The routers.
-        shifts: Roll-outs, whose reports outlive their routers.
+        host: Returns the current settings of this instance.
+        routers: The registry of routers.
+        shifts: Roll-outs, whose stored reports outlive their routers.
         mirrors: The mirrors by kind.
-        random: Source of draws.
+        random: Source of random numbers.
     """
 
     __slots__ = ("host", "mirrors", "random", "routers", "shifts")
@@ -40,7 +42,7 @@
         mirrors: Mapping[str, Mirror],
         source: random.Random,
     ) -> None:
-        """Take the parts; `run` announces."""
+        """Build an announcer from a router's components; `run` announces."""
         self.host = host
         self.routers = routers
         self.shifts = shifts
@@ -48,7 +50,7 @@
         self.random = source
 
     def run(self, stopping: threading.Event) -> None:
-        """Announce this router, again and again, until the daemon stops."""
+        """Announce this router periodically until the daemon stops."""
         wait_s = 0.0
         while not stopping.is_set():
             if self.routers.due.wait(wait_s):
@@ -58,16 +60,20 @@
                 wait_s = ANNOUNCE_RETRY_S
                 continue
             self._remove_gone()
-            # Spread, so that not all remove what is gone at once.
+            # Jitter, so that not all routers remove stale objects at once.
             wait_s = ANNOUNCE_EVERY_S * self.random.uniform(0.5, 1.0)
 
     def _jitter_s(self) -> float:
-        """Return how long to wait where all routers announce themselves."""
+        """Return a random delay that spreads the writes of all routers.
+
+        Returns:
+            Seconds to wait before this router announces itself.
+        """
         writes_per_s = self.host().platform_writes_per_s * ANNOUNCE_WRITES_SHARE
         return self.random.uniform(0.0, self.routers.count() / writes_per_s)
 
     def _remove_gone(self) -> None:
-        """Remove what routers left in the store that are gone for good."""
+        """Remove entries and reports of gone routers from the store."""
         routers, reports = (
             self.mirrors[kind].snapshot()
             for kind in (KIND_ROUTERS, KIND_REPORTS)
--- a/lacewingdock/daemons/router_mirrors.py
+++ b/lacewingdock/daemons/router_mirrors.py
@@ -1,4 +1,4 @@
-"""Support for a router's mirrors: which kinds it follows, and how closely."""
+"""Builds a router's mirrors: which kinds it watches, and how often."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -31,32 +31,38 @@
 from lacewingdock.world.host import Bounds
 from lacewingdock.world.router_entry import KIND_ROUTERS
 
-# Nothing is bound to a moment by these: addresses matter in outages only, and a
-# version that is found bad is told by datagrams. Watches that may be seconds
-# behind cost a tenth and do not count towards the platform's rate of reads.
+# Kinds without a propagation bound: addresses of routers matter only in
+# outages, and a version found bad is announced by datagrams. A watch that may
+# be seconds stale costs a tenth, and does not count towards the platform's
+# limit of reads.
 UNBOUNDED_KINDS: Final = (KIND_ROUTERS, KIND_REPORTS)
-# Routers come and go rarely, and their addresses matter only in an outage.
+# Longest watch of routers' entries, in seconds: routers start and stop rarely,
+# and their addresses matter only in an outage.
 ROUTERS_WATCH_S: Final = 20.0
-# An order that is seen late starts late, and may end after its time; a watch
-# that went deaf hides it until it ends.
+# Longest watch of roll-out orders, in seconds. A watch whose connection went
+# silent hides an order until the watch ends; an order that is received late
+# starts late and may miss its deadline.
 ORDERS_WATCH_S: Final = 2.5
-# Outside of roll-outs nothing is reported.
+# Longest watch of reports outside of roll-outs, in seconds: none are written
+# then.
 REPORTS_WATCH_S: Final = 8.0
-# After a crash every router may tell which requests it lost there.
+# Pause between watches of routers' entries, in seconds. After the crash of an
+# instance every router may publish in its entry the requests it lost there.
 ROUTERS_PAUSE_S: Final = 1.0
-# A large fleet gathers them longer, so that reading them takes at most this
-# part of the platform's reads: 6 s at 1,200 routers and 2,000 reads a second.
+# Share of the platform's reads that reading roll-out reports may use. A large
+# fleet batches reports for longer to stay below it: 6 s at 1,200 routers and
+# 2,000 reads per second.
 REPORTS_READS_SHARE: Final = 0.1
 
 
 @dataclass(slots=True)
 class MirrorPacing:
-    """What the pace of a router's mirrors hangs on.
+    """The values that determine how often a router's mirrors call the store.
 
     Attributes:
-        bounds: Returns what the router is held to.
+        bounds: Returns the router's propagation bounds.
         shifting: Returns whether a roll-out is under way.
-        reports_pause_s: Returns for how long reports are gathered.
+        reports_pause_s: Returns for how many seconds reports are batched.
     """
 
     bounds: Callable[[], Bounds]
@@ -67,11 +73,11 @@
 def build_store_health(
     bounds: Callable[[], Bounds], clock: Clock
 ) -> StoreHealth:
-    """Return the health of the store, before any call.
+    """Return the store's health state, before any call was made.
 
     Args:
-        bounds: Returns what the router is held to.
-        clock: The time it goes by.
+        bounds: Returns the router's propagation bounds.
+        clock: The clock to use.
     """
     return StoreHealth(
         LAPSE_S,
@@ -84,13 +90,13 @@
 def reports_pause_s(
     routers: int, reads_per_s: float, *, hurried: bool, relayed: bool
 ) -> float:
-    """Return for how long reports of a roll-out are gathered for one call.
+    """Return for how many seconds roll-out reports are batched into one call.
 
     Args:
-        routers: How many there are.
-        reads_per_s: What the platform bears of the whole fleet.
-        hurried: Whether they are waited for.
-        relayed: Whether a few routers read them for all.
+        routers: Number of routers.
+        reads_per_s: Reads per second that the platform allows the fleet.
+        hurried: Whether a decision waits for the reports.
+        relayed: Whether a few watchers read the reports for all routers.
     """
     if relayed:
         return CHANGES_PAUSE_S if hurried else REPORTS_PAUSE_S
@@ -106,16 +112,16 @@
     pace: MirrorPacing,
     clock: Clock = STEADY,
 ) -> dict[str, Mirror]:
-    """Return the mirrors of a router by kind; each is a task of its own.
+    """Return the mirrors of a router by kind; each runs in its own task.
 
     Args:
-        listeners: What is told of each kind.
+        listeners: Receivers of the changes, by kind.
         api: The platform's store.
-        health: What their calls show of the store, shared by all.
-        pull: Returns the newest copy that other routers have.
-        source: Source of draws.
-        pace: How closely they follow.
-        clock: The time they go by.
+        health: The store's health state, shared by all mirrors.
+        pull: Returns the newest copy that other routers hold.
+        source: Source of random numbers.
+        pace: The values that determine how often they call the store.
+        clock: The clock to use.
     """
 
     def bound_watch_s() -> float:
--- a/lacewingdock/daemons/router_ports.py
+++ b/lacewingdock/daemons/router_ports.py
@@ -1,4 +1,4 @@
-"""Support for the ports on which a router's messages come and go."""
+"""Builds the ports for a router's messages to other routers and sidecars."""
 
 import random
 import threading
@@ -34,22 +34,22 @@
     changed: threading.Event,
     source: random.Random,
 ) -> GossipPort:
-    """Return the port on which routers tell each other of their work.
+    """Return the port on which routers exchange their load by gossip.
 
     Args:
-        host: What the platform says of this instance.
+        host: Settings of this instance.
         directory: The upstream instances.
-        fleet_load: What the other routers have running.
+        fleet_load: The load of the other routers at each instance.
         shifts: Roll-outs.
         routers: The other routers.
-        changed: Set when what this router has at an instance changes.
-        source: Source of draws.
+        changed: Set when this router's load at an instance changes.
+        source: Source of random numbers.
 
     Raises:
         LacewingdockError: PORT_TAKEN or BAD_SETTING.
     """
-    # Of two starts of this router the later one must be told by it; a clock
-    # that was set back costs what others heard a second to forget.
+    # Receivers recognize the later of two starts of this router by this time.
+    # If the clock was set back, they need a second to expire the earlier rows.
     start = time.time_ns() // 1_000_000
 
     def compose(number: int) -> Message:
@@ -97,17 +97,17 @@
     routers: Routers,
     source: random.Random,
 ) -> RelayPort | None:
-    """Return the port on which routers pass the store's news on.
+    """Return the port on which routers relay changes of the store.
 
     Args:
-        host: What the platform says of this instance.
-        mirrors: The mirrors by kind, which go by it from then on.
-        health: What their calls show of the store.
+        host: Settings of this instance.
+        mirrors: The mirrors by kind; the relay is connected to each.
+        health: The store's health state.
         routers: The other routers.
-        source: Source of draws.
+        source: Source of random numbers.
 
     Returns:
-        The port; None where the platform gives none for it.
+        The port; None where the settings name no relay port.
 
     Raises:
         LacewingdockError: PORT_TAKEN or BAD_SETTING.
@@ -127,7 +127,7 @@
 
 
 def build_prober(host: HostProfile, source: random.Random) -> Prober | None:
-    """Return what asks sidecars; None where the platform gives no port.
+    """Return the prober of sidecars; None where the settings name no port.
 
     Raises:
         LacewingdockError: PORT_TAKEN or BAD_SETTING.
--- a/lacewingdock/daemons/router_relay.py
+++ b/lacewingdock/daemons/router_relay.py
@@ -1,4 +1,4 @@
-"""Support for setting up how routers pass the store's news on."""
+"""Sets up the relay by which routers pass on changes of the store."""
 
 import functools
 import math
@@ -32,25 +32,26 @@
 )
 from lacewingdock.world.host import Bounds
 
-# Kinds on which a bound hangs, and orders, which start late if seen late.
+# Kinds with a propagation bound, and roll-out orders, which start late if they
+# are received late.
 BOUNDED_KINDS: Final = (
     KIND_CONFIGURATION,
     KIND_INSTANCES,
     KIND_SHIFTS,
     KIND_CORDONS,
 )
-# How old a copy of another kind may grow by the watchers' word: longer than
-# any watch of such a kind waits.
+# Highest age, in seconds, of a copy of another kind that is confirmed by
+# watchers' freshness reports alone: longer than any watch of such a kind.
 UNBOUNDED_KINDS_LIMIT_S: Final = 30.0
 
 
 @dataclass(slots=True)
 class Relay:
-    """Both ends of a router's relaying.
+    """Both ends of a router's relay.
 
     Attributes:
-        follower: What it takes from others.
-        watcher: What it tells others.
+        follower: Receives changes from other routers.
+        watcher: Reports changes to other routers.
     """
 
     follower: Follower
@@ -65,15 +66,15 @@
     source: random.Random,
     clock: Clock = STEADY,
 ) -> Relay:
-    """Return a router's relay, and have its mirrors go by it.
+    """Return a router's relay, connected to its mirrors.
 
     Args:
         mirrors: The mirrors by kind.
-        health: What their calls show of the store.
+        health: The store's health state.
         routers: The other routers.
-        bounds: Returns what the router is held to.
-        source: Source of draws.
-        clock: The time it goes by.
+        bounds: Returns the router's propagation bounds.
+        source: Source of random numbers.
+        clock: The clock to use.
     """
 
     def is_enabled() -> bool:
@@ -113,7 +114,7 @@
 
 
 def relay_reduces_calls(routers: int, bounds: Bounds) -> bool:
-    """Whether a fleet makes fewer calls with a few watchers."""
+    """Return whether a fleet makes fewer calls if a few watchers relay."""
     if renew_s(bounds) <= 0.0:
         return False
     return reduces_calls(
@@ -127,11 +128,11 @@
 def _fresh_for_s(
     follower: Follower, health: StoreHealth, kind: str
 ) -> Callable[[], float]:
-    """Return how long a kind's copy may be left to the watchers.
+    """Return a function for how long watchers keep a kind's copy fresh.
 
-    A router that the store did not answer asks on until it does: by the
-    watchers' word alone it would hold the store for away for good, and what is
-    missing for lapsed.
+    A router that the store did not answer calls it until it answers. With the
+    watchers' reports alone, the router would consider the store unavailable
+    for ever, and missing entries lapsed.
     """
     return lambda: 0.0 if health.away else follower.fresh_for_s(kind)
 
@@ -142,10 +143,10 @@
     mirror: Mirror,
     bounds: Callable[[], Bounds],
 ) -> Callable[[], float]:
-    """Return how long a kind need not be asked for in an outage.
+    """Return a function for how long a kind's call is deferred in an outage.
 
-    With each router asking for each kind several times a second, an outage
-    costs thousands of calls, which are refused.
+    If each router called for each kind several times a second, an outage would
+    cause thousands of calls, all of them refused.
     """
 
     def defer_call_s() -> float:
--- a/lacewingdock/daemons/router_restore.py
+++ b/lacewingdock/daemons/router_restore.py
@@ -1,4 +1,4 @@
-"""Support for a router whose platform's store is back from an older copy."""
+"""Handles the restore of the platform's store from an older copy."""
 
 from collections.abc import Callable
 from typing import Final
@@ -9,7 +9,7 @@
 from lacewingdock.components.upstreams.directory import LAPSE_S, Directory
 from lacewingdock.world.host import Bounds
 
-# Intervals of silence after which an instance's entry runs out.
+# Renewal intervals without a heartbeat after which an instance's entry expires.
 ENTRY_EXPIRY_INTERVALS: Final = 3
 
 
@@ -20,14 +20,14 @@
     suspects: PoisonRequests,
     bounds: Callable[[], Bounds],
 ) -> Callable[[], None]:
-    """Return what is done when the store is back from a copy.
+    """Return the function to call when the store was restored from a copy.
 
     Args:
-        health: What is known of the store.
+        health: The store's health state.
         directory: The upstream instances.
-        routers: The routers; this one's entry is written again.
-        suspects: Lost requests; all that count are told again.
-        bounds: Returns what the router is held to.
+        routers: The registry of routers; this router is announced again.
+        suspects: Lost requests; those that still count are published again.
+        bounds: Returns the router's propagation bounds.
     """
 
     def returned() -> None:
@@ -40,8 +40,9 @@
 
 
 def hold_older_entries_s(bounds: Bounds) -> float:
-    """Return for how long older entries are held back, in seconds.
+    """Return for how long entries from the older copy are held, in seconds.
 
-    Until those that nobody writes again have run out, and that was seen.
+    Long enough for entries that no instance renews to expire, and for the
+    router to observe that.
     """
     return ENTRY_EXPIRY_INTERVALS * bounds.renewal_s + LAPSE_S
--- a/lacewingdock/daemons/router_state.py
+++ b/lacewingdock/daemons/router_state.py
@@ -1,4 +1,4 @@
-"""Support for telling what a router believes; loaded when it is asked for."""
+"""Collects a router's state for inspection; imported on the first request."""
 
 import threading
 import time
@@ -31,7 +31,7 @@
 
 
 class InspectedRouter(Protocol):
-    """What of a router is told; see `RouterDaemon`."""
+    """The part of `RouterDaemon` that an inspection reads."""
 
     host: HostProfile
     routes: Routes
@@ -50,11 +50,11 @@
     started: float
 
     def missing(self) -> str:
-        """Return what is missing to serve."""
+        """Return what the router lacks to serve; empty if nothing."""
 
 
 def router_state(router: InspectedRouter) -> RouterState:
-    """Return what a router believes now."""
+    """Return a router's current state."""
     host, table, relay = router.host, router.routes.table, router.relay
     prober = router.gateway.chooser.prober
     return RouterState(
--- a/lacewingdock/daemons/router_timing.py
+++ b/lacewingdock/daemons/router_timing.py
@@ -1,10 +1,10 @@
-"""Support for the worst-case propagation delays of a router.
+"""Worst-case propagation delays of a router, checked against its bounds.
 
 An operator's bounds hold once a router was undisturbed for the contact time.
-So each path by which a change propagates must end within that time of the
-disturbance that delays it, and without one within the bound itself. The delays
-are added up here from the constants and settings that the router runs by, so
-that a constant that breaks a bound is seen when it is written.
+So each path by which a change propagates must end within the contact time
+after the disturbance that delays it, or without a disturbance within the bound
+itself. The delays are summed up here from the constants and settings that the
+router uses, so that tests show a constant that breaks a bound.
 """
 
 from dataclasses import dataclass
@@ -26,46 +26,49 @@
 from lacewingdock.components.upstreams.pool import CONNECT_S
 from lacewingdock.world.host import Bounds
 
-# Changes of the configuration and of instances often come several at a time: at
-# a start, a release, a storm of changes. Gathered for this long they cost one
-# call; the bounds on both are seconds.
+# Pause between two watches, in seconds. Changes of the configuration and of
+# instances often come in bursts: at a start, at a release, in a storm of
+# changes. Batched for this long they cost one call; both bounds are seconds.
 CHANGES_PAUSE_S: Final = 0.25
-# Reports come from every router while a roll-out is under way; gathered for
-# this long they cost one call instead of one each.
+# Pause between two watches of roll-out reports, in seconds. Every router writes
+# reports during a roll-out; batched for this long they cost one call instead
+# of one each.
 REPORTS_PAUSE_S: Final = 0.8
-# What an answer takes that nothing disturbs: the round trip, the reading of a
-# list, and the turns of a busy router's other tasks.
+# Seconds until an undisturbed call is answered: the round trip, reading a list,
+# and the scheduling delay of a busy router.
 ANSWER_S: Final = 0.2
-# What is left over of the contact time where a watch is as long as it may be.
+# Margin of the contact time, in seconds, with the longest allowed watch.
 WATCH_MARGIN_S: Final = 0.1
-# The shortest watch, where the contact time leaves less: a call each fifth of a
-# second is what the platform's rates bear of a few routers.
+# Shortest watch, in seconds, where the contact time leaves less: the platform's
+# rate limits allow a few routers one call every 0.2 s.
 MIN_WATCH_S: Final = 0.2
-# How often a kind that is not asked for in an outage looks whether another one
-# was answered.
+# Seconds between checks in an outage whether the store has answered a call for
+# another kind; a kind whose own call is deferred makes them.
 RECOVERY_CHECK_INTERVAL_S: Final = 0.1
-# What is left over where a router asks the store since its copy grew too old:
-# it may be busy, and have fallen asleep a moment before.
+# Margin, in seconds, for a router that calls the store since its copy became
+# too old: it may be busy, and may have begun to sleep just before.
 FOLLOW_MARGIN_S: Final = 0.2
-# A watcher that had to call more often would be one of the platform's burdens.
+# Shortest renewal interval of a watcher, in seconds; a watcher that calls more
+# often would put too much load on the platform.
 MIN_RENEW_S: Final = 0.3
-# Sums of seconds are rounded.
+# Tolerance, in seconds, for rounding errors in sums of seconds.
 ROUNDING_S: Final = 1e-6
-# An entry runs out after three intervals of silence, so after an outage of two.
+# Renewal intervals that the shortest outage in which entries expire lasts: an
+# entry expires after three intervals without renewal, so two can be enough.
 LAPSE_INTERVALS: Final = 2
-# How often it is looked whether doubt is over.
+# Seconds between checks whether missing entries are no longer in doubt.
 LAPSE_CHECK_INTERVAL_S: Final = 0.2
-# Doubt ends this long before the contact time does: a look, and what a busy
-# router takes for it.
+# Seconds before the end of the contact time at which the doubt about missing
+# entries ends: one check interval, and the delay of a busy router.
 DOUBT_MARGIN_S: Final = LAPSE_CHECK_INTERVAL_S + 0.1
 
 
 def watch_s(bounds: Bounds) -> float:
-    """Return how long a watch of a bound kind may wait, in seconds.
+    """Return how long a watch of a kind with a bound may wait, in seconds.
 
-    A watch may be deaf: its connection went silent while new ones work. It
-    must end, and a call on a new connection be answered, within the contact
-    time.
+    The connection of a watch may have gone silent while new connections work.
+    The watch must end, and a call on a new connection must be answered, within
+    the contact time.
     """
     return _longest_watch_s(bounds.contact_s)
 
@@ -73,8 +76,9 @@
 def cordons_watch_s(bounds: Bounds) -> float:
     """Return how long a watch of cordons may wait, in seconds.
 
-    A cordon that a disturbance hid was set after it began, so its own bound
-    holds where that is the longer one. Fewer calls a watcher are the gain.
+    A cordon that a disturbance hides was set after the disturbance began, so
+    the cordon's own bound applies if it is longer than the contact time. A
+    longer watch saves calls of each watcher.
     """
     return _longest_watch_s(_disturbed_cordon_s(bounds))
 
@@ -85,17 +89,17 @@
 
 
 def _disturbed_cordon_s(bounds: Bounds) -> float:
-    """Return the seconds in which a cordon must be known, if disturbed."""
+    """Return within how many seconds a disturbed cordon must be in force."""
     return max(bounds.contact_s, bounds.cordon_s)
 
 
 def entries_watch_s(bounds: Bounds) -> float:
     """Return how long a watch of instances' entries may wait, in seconds.
 
-    An outage in which entries run out must show in a call that does not wait,
-    or each missing entry is taken for an instance that left, and all requests
-    are refused until the entries are back. So a watch that began before such
-    an outage, and failed in it, ends within it.
+    An outage in which entries expire must be detected by a failed call.
+    Otherwise each missing entry counts as an instance that left, and all
+    requests are refused until the entries are written again. So a watch that
+    began before such an outage, and fails in it, must end within it.
     """
     shortest_outage_s = LAPSE_INTERVALS * bounds.renewal_s
     longest_s = max(shortest_outage_s - WATCH_GRACE_S - RETRY_S, MIN_WATCH_S)
@@ -103,19 +107,20 @@
 
 
 def follow_limit_s(bounds: Bounds) -> float:
-    """Return how old a copy may grow by other routers' word, in seconds.
+    """Return how old a copy may grow on watchers' reports, in seconds.
 
-    Whoever vouches for it may be cut off, freeze or die at any moment, which
-    disturbs nobody else: at that age a router asks the store itself, and the
-    answer must be in force within the bounds. It may hang on a connection
-    that went silent, and be asked again within the contact time.
+    A watcher that confirms the copy may be cut off, freeze or die at any
+    moment, which does not count as a disturbance of other routers. At this age
+    a router calls the store itself, and the answer must be in force within the
+    bounds. The call may hang on a connection that went silent; it must then be
+    repeated within the contact time.
     """
     bound_s = min(bounds.drain_s - CONNECT_S, bounds.apply_s, bounds.revoke_s)
     return _follow_limit_s(bound_s, bounds.contact_s)
 
 
 def follow_cordons_limit_s(bounds: Bounds) -> float:
-    """Return how old a copy of cordons may grow so, in seconds."""
+    """Return how old a copy of cordons may grow on watchers' reports."""
     bound_s = bounds.cordon_s - CONNECT_S
     return _follow_limit_s(bound_s, _disturbed_cordon_s(bounds))
 
@@ -126,15 +131,18 @@
 
 
 def renew_s(bounds: Bounds, limit_s: float | None = None) -> float:
-    """Return how old a watcher's copy may grow by its own calls, in seconds.
+    """Return how old a watcher's copy may grow between its own calls.
 
-    What it tells is older by two questions where the first is lost. Nothing
-    where the bounds are too short for following.
+    A follower's copy is older by two query intervals if the first query is
+    lost.
 
     Args:
-        bounds: What the router is held to.
-        limit_s: How old a follower's copy may grow; by default that of the
-            kinds with the shortest bounds.
+        bounds: The router's propagation bounds.
+        limit_s: Highest age of a follower's copy, in seconds; by default that
+            of the kinds with the shortest bounds.
+
+    Returns:
+        Seconds; 0 if the bounds are too short for relaying.
     """
     reports_s = sum(one.seconds for one in _delays_of_reports(_RELAY_DELAYS))
     if reports_s > bounds.rollback_s:
@@ -151,10 +159,10 @@
 
 
 def outage_pause_s(bounds: Bounds) -> float:
-    """Return after how long in an outage a kind is asked for in any case.
+    """Return after how many seconds in an outage a kind is called for anyway.
 
-    Until then another kind's calls, or the watchers', find out whether the
-    store is back: an outage costs calls of a few routers, not of all.
+    Until then the calls for another kind, or those of the watchers, detect the
+    store's recovery, so that in an outage only a few routers call it.
     """
     rest = (
         POLL_TIMEOUT_S
@@ -167,16 +175,20 @@
 
 
 def doubt_s(bounds: Bounds) -> float:
-    """Return how long after a failed call missing entries may be doubted."""
+    """Return how many seconds after a failed call missing entries are doubted.
+
+    An entry in doubt is kept, since it may have expired in the outage.
+    """
     return bounds.contact_s - DOUBT_MARGIN_S
 
 
 def restored_doubt_s(bounds: Bounds) -> float:
-    """Return how long missing entries may be doubted after a return.
+    """Return how many seconds missing entries are doubted after a restore.
 
-    Counted from the last answer before the store came back from a copy, which
-    is the earliest moment at which that can have been. An entry that goes once
-    the contact time is over must be left within the time for that.
+    Counted from the last answer before the store was restored from a copy, the
+    earliest moment at which the restore can have happened. An instance whose
+    entry is removed once the contact time is over must get no more work within
+    the drain bound.
     """
     rest_s = CHANGES_PAUSE_S + ANSWER_S + DOUBT_MARGIN_S
     return bounds.contact_s + bounds.drain_s - rest_s
@@ -184,7 +196,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Delay:
-    """A step of a path and the seconds that it takes at the most."""
+    """A step of a propagation path and its longest duration in seconds."""
 
     name: str
     seconds: float
@@ -194,21 +206,21 @@
 _ANSWER: Final = Delay("answer", ANSWER_S)
 _WATCH_DELAYS: Final = (_PAUSE, _ANSWER)
 _RELAY_DELAYS: Final = (
-    Delay("question of a follower", 2 * QUERY_INTERVAL_S),
+    Delay("query of a follower", 2 * QUERY_INTERVAL_S),
     Delay("fetch from the watcher", PULL_TIMEOUT_S),
 )
 
 
 @dataclass(slots=True, frozen=True)
 class PropagationPath:
-    """One path by which a change comes into force.
+    """One path by which a change propagates until it is in force.
 
     Attributes:
-        promise: What depends on the change.
-        name: The path.
-        delays: Its steps, one after the other.
-        bound: Name of the setting that it is held to.
-        bound_s: Its seconds.
+        promise: The guarantee to operators that depends on the change.
+        name: Description of the path.
+        delays: The steps of the path, in order.
+        bound: Name of the setting that limits the path.
+        bound_s: Value of that setting, in seconds.
     """
 
     promise: str
@@ -218,7 +230,7 @@
     bound_s: float
 
     def __str__(self) -> str:
-        """Tell which bound it may break."""
+        """Return a message that names the bound and the worst case."""
         return (
             f"{self.bound} {self.bound_s:g} s: {self.promise}: {self.name}"
             f" may take {self.worst_s:.2f} s"
@@ -226,21 +238,21 @@
 
     @property
     def worst_s(self) -> float:
-        """The seconds that it takes at the most."""
+        """The longest time that the path can take, in seconds."""
         return sum(delay.seconds for delay in self.delays)
 
     @property
     def margin_s(self) -> float:
-        """The seconds that are left of the bound; below 0 it may be broken."""
+        """The seconds left of the bound; below 0 the bound may be broken."""
         return self.bound_s - self.worst_s
 
 
 def propagation_paths(bounds: Bounds) -> list[PropagationPath]:
-    """Return the paths of all changes that are bound to a moment.
+    """Return the paths of all changes with a propagation bound.
 
-    Paths that a disturbance delays are held to the contact time, the others to
-    the promise's own bound. A call that gets no answer counts with its whole
-    timeout, one that is answered with `ANSWER_S`.
+    Paths that a disturbance delays are limited by the contact time, the others
+    by the bound of the promise. A call without an answer counts with its full
+    timeout, an answered call with `ANSWER_S`.
     """
     return [
         *_paths_of_entries(bounds),
@@ -251,7 +263,7 @@
 
 
 def paths_over_bound(bounds: Bounds) -> list[PropagationPath]:
-    """Return the paths that may take longer than their bound."""
+    """Return the paths that may take longer than their bound allows."""
     return [
         path
         for path in propagation_paths(bounds)
@@ -267,13 +279,13 @@
         Delay("connection to the instance", CONNECT_S),
     )
     return [
-        PropagationPath(promise, "heard by a watch", watch_delays, *drain),
+        PropagationPath(promise, "received by a watch", watch_delays, *drain),
         PropagationPath(
             promise,
-            "heard after others were asked for a missing entry",
+            "received after other routers were asked for a missing entry",
             (
                 Delay(
-                    "questions to other routers",
+                    "queries to other routers",
                     ROUTERS_PER_PULL * PULL_TIMEOUT_S,
                 ),
                 *watch_delays,
@@ -289,17 +301,21 @@
             "entry missing after an outage",
             (
                 Delay("doubt after the last failed call", doubt_s(bounds)),
-                Delay("look whether doubt is over", LAPSE_CHECK_INTERVAL_S),
+                Delay(
+                    "check whether the doubt is over", LAPSE_CHECK_INTERVAL_S
+                ),
             ),
             "contact",
             bounds.contact_s,
         ),
         PropagationPath(
             promise,
-            "entry missing since the store's return from a copy",
+            "entry missing since the store was restored from a copy",
             (
                 Delay("doubt after the last answer", restored_doubt_s(bounds)),
-                Delay("look whether doubt is over", LAPSE_CHECK_INTERVAL_S),
+                Delay(
+                    "check whether the doubt is over", LAPSE_CHECK_INTERVAL_S
+                ),
             ),
             "contact and drain",
             bounds.contact_s + bounds.drain_s,
@@ -308,7 +324,7 @@
 
 
 def _paths_of_cordons(bounds: Bounds) -> list[PropagationPath]:
-    """Return the paths of a cordon; none where none is ever set."""
+    """Return the paths of a cordon; empty if none are ever set."""
     if not bounds.cordon_s:
         return []
     promise = "a cordoned failure domain gets no work"
@@ -317,7 +333,7 @@
     watch_delays = (*_WATCH_DELAYS, connection)
     disturbed = ("cordon", _disturbed_cordon_s(bounds))
     return [
-        PropagationPath(promise, "heard by a watch", watch_delays, *cordon),
+        PropagationPath(promise, "received by a watch", watch_delays, *cordon),
         *_disturbed_paths(promise, cordons_watch_s(bounds), bounds, disturbed),
         *_relayed_paths(
             promise,
@@ -334,11 +350,15 @@
     promise = "a configuration is in force"
     return [
         PropagationPath(
-            promise, "heard by a watch", _WATCH_DELAYS, "apply", bounds.apply_s
+            promise,
+            "received by a watch",
+            _WATCH_DELAYS,
+            "apply",
+            bounds.apply_s,
         ),
         PropagationPath(
-            "a key that was taken away opens nothing",
-            "heard by a watch",
+            "a revoked key is rejected",
+            "received by a watch",
             _WATCH_DELAYS,
             "revoke",
             bounds.revoke_s,
@@ -349,7 +369,7 @@
 
 
 def _paths_of_roll_outs(bounds: Bounds) -> list[PropagationPath]:
-    evaluation = Delay("round of judging", ROUND_S)
+    evaluation = Delay("evaluation round", ROUND_S)
     write = Delay("write", ANSWER_S)
     return [
         *_paths_of_bad_version(bounds),
@@ -381,7 +401,7 @@
 
 
 def _delays_of_reports(relay_delays: tuple[Delay, ...]) -> tuple[Delay, ...]:
-    evaluation = Delay("round of judging", ROUND_S)
+    evaluation = Delay("evaluation round", ROUND_S)
     write = Delay("write", ANSWER_S)
     return (
         Delay("pause between reports of bad answers", REPORT_BAD_S),
@@ -426,12 +446,12 @@
             (
                 Delay("call that hangs", POLL_TIMEOUT_S),
                 Delay(
-                    "questions to other routers",
+                    "queries to other routers",
                     ROUTERS_PER_PULL * PULL_TIMEOUT_S,
                 ),
                 Delay("longest pause in an outage", outage_pause_s(bounds)),
                 Delay(
-                    "look whether the store is back", RECOVERY_CHECK_INTERVAL_S
+                    "check whether the store is back", RECOVERY_CHECK_INTERVAL_S
                 ),
                 _ANSWER,
             ),
@@ -448,7 +468,7 @@
     limit_s: float | None = None,
     within: tuple[str, float] | None = None,
 ) -> list[PropagationPath]:
-    """Return the paths of a change that watchers pass on, if any do."""
+    """Return the paths of a change that watchers relay; empty without relay."""
     if renew_s(bounds) <= 0.0:
         return []
     if limit_s is None:
@@ -456,7 +476,7 @@
     relayed = (*_WATCH_DELAYS, *_RELAY_DELAYS)
     old = (
         Delay("age at which a follower asks the store", limit_s),
-        Delay("look at the age", FOLLOW_MARGIN_S),
+        Delay("check of the age", FOLLOW_MARGIN_S),
     )
     again = (
         Delay("call that hangs", POLL_TIMEOUT_S),
@@ -464,13 +484,15 @@
     )
     contact = within or ("contact", bounds.contact_s)
     return [
-        PropagationPath(promise, "told by a watcher", relayed + then, *bound),
         PropagationPath(
-            promise, "watchers say nothing", (*old, _ANSWER, *then), *bound
+            promise, "reported by a watcher", relayed + then, *bound
+        ),
+        PropagationPath(
+            promise, "watchers are silent", (*old, _ANSWER, *then), *bound
         ),
         PropagationPath(
             promise,
-            "watchers and the connection say nothing",
+            "watchers and the connection are silent",
             (*old, *again, _ANSWER),
             *contact,
         ),
--- a/lacewingdock/daemons/sidecar.py
+++ b/lacewingdock/daemons/sidecar.py
@@ -1,4 +1,4 @@
-"""Support for the sidecar daemon, the last gate before an upstream."""
+"""Sets up and runs the sidecar daemon, the proxy next to an upstream."""
 
 from lacewingdock.components import (
     admin,
@@ -20,10 +20,10 @@
     """Run a sidecar until it is stopped.
 
     Returns:
-        The number of requests that the stop cut off.
+        The number of requests that were cut off by the stop.
 
     Raises:
-        LacewingdockError: It can't start.
+        LacewingdockError: The sidecar can't start.
     """
     daemon = Daemon(settings)
     links = peers.setup(daemon)
--- a/lacewingdock/daemons/start_router.py
+++ b/lacewingdock/daemons/start_router.py
@@ -1,10 +1,11 @@
-"""Support for starting a router with its callers' port open first.
+"""Starts a router with its callers' port opened before it is loaded.
 
     LACEWINGDOCK_CONFIG=boot.toml python3 -m lacewingdock.daemons.start_router
 
-Loading a router takes a good part of a second on a slow instance. Callers that
-connect meanwhile would be refused, and those whose streams were cut come again
-within that time and give up. With the port open first they wait to be accepted.
+Loading a router takes a good part of a second on a slow instance. Without an
+open port, callers that connect meanwhile are refused; callers whose streams
+were cut reconnect within that time and give up. With the port open, their
+connections wait in the listen backlog until the router accepts them.
 """
 
 import os
@@ -15,9 +16,9 @@
 
 
 def open_callers_port(path: str) -> socket.socket | None:
-    """Open the callers' port; None where the settings are at fault.
+    """Open the callers' port; None where the settings are faulty.
 
-    The fault is told once the settings are checked in full.
+    The fault is reported later, when the router validates all settings.
     """
     try:
         return open_port(read_callers_address(path))
@@ -28,7 +29,7 @@
 def main() -> None:
     """Open the port, then load the router and run it."""
     sock = open_callers_port(os.environ.get("LACEWINGDOCK_CONFIG", ""))
-    # Loaded only now: see above.
+    # Imported after the port is open, since the import is slow.
     from lacewingdock.daemons.router import main as run
 
     run(sock)
--- a/tests/daemons/test_router_timing.py
+++ b/tests/daemons/test_router_timing.py
@@ -68,12 +68,12 @@
         (
             "drain_s",
             1.8,
-            {"heard after others were asked for a missing entry"},
+            {"received after other routers were asked for a missing entry"},
         ),
-        ("apply_s", 0.4, {"heard by a watch"}),
-        ("revoke_s", 0.4, {"heard by a watch"}),
+        ("apply_s", 0.4, {"received by a watch"}),
+        ("revoke_s", 0.4, {"received by a watch"}),
         ("rollback_s", 1.0, {"reports in the store"}),
-        ("cordon_s", 0.6, {"heard by a watch"}),
+        ("cordon_s", 0.6, {"received by a watch"}),
     ],
 )
 def test_bound_that_is_too_short_is_told(field, seconds, broken):
