--- a/tests/daemons/crash_engines.py
+++ b/tests/daemons/crash_engines.py
@@ -1,4 +1,4 @@
-"""Engines that one request ends, and that come back at their addresses."""
+"""Fake engines that a poison request crashes and that restart in place."""
 
 import contextlib
 import itertools
@@ -16,30 +16,30 @@
     stream_head,
 )
 
-# The body of the request that ends what runs it.
+# Body of the request that crashes the engine that runs it.
 BAD = b"ends what runs it"
-# How long it runs before.
+# Seconds for which the request runs before the crash.
 CRASH_DELAY_S = 0.06
 SLOTS = 4
-# Events of a harmless answer, and the pause between two.
+# Number of events of a harmless answer, and seconds between two of them.
 EVENTS = 4
 PAUSE_S = 0.03
 
 
 @dataclass(frozen=True)
 class CrashMode:
-    """What the end of an engine looks like from outside.
+    """How the crash of an engine appears to its clients.
 
     Attributes:
-        first: What it answers before: "", "head", "unsure" (a head with a low
-            confidence), "event", or "bare head" (one without a length).
-        soft: Whether connections are closed, else they are reset.
-        port_s: For how long its port stays open.
-        hangs_s: For how long a connection to such a port stays open unread.
-        back_s: After how long its address answers under another id.
-        stale_s: After how long its entry is removed; None for never.
-        error_in: Of so many requests one is answered 500 instead of its end; 0
-            for none.
+        first: Answer before the crash: "", "head", "unsure" (a head with a low
+            confidence), "event", or "bare head" (a head without a length).
+        soft: Whether connections are closed; otherwise they are reset.
+        port_s: Seconds for which the port stays open after the crash.
+        hangs_s: Seconds for which a connection to that port stays open unread.
+        back_s: Seconds until the address answers under another instance id.
+        stale_s: Seconds until the engine's entry is removed; None for never.
+        error_in: One in this many bad requests is answered with status 500
+            instead of a crash; 0 for none.
     """
 
     first: str = ""
@@ -53,13 +53,13 @@
 
 @dataclass
 class EngineRun:
-    """One start of an engine.
+    """One run of an engine, from its start to its crash.
 
     Attributes:
-        name: Its id.
-        ended: Set when it ends.
-        open: Its connections.
-        slots: Its free slots.
+        name: Instance id of this run.
+        ended: Set when the engine crashes.
+        open: Open connections.
+        slots: Free slots.
     """
 
     name: str
@@ -71,16 +71,17 @@
 
 
 class Engines:
-    """Engines that crash, and the list of them.
+    """A group of engines that crash and restart.
 
     Attributes:
-        form: What their ends look like.
-        write: Writes an entry, by id and port.
-        remove: Removes one, by id.
+        crash_mode: How the crashes appear to clients.
+        write: Writes an engine's entry, by id and port.
+        remove: Removes an engine's entry, by id.
         ended: (monotonic time, id of the request) of each crash.
-        lives: The present start by port.
-        ids: Numbers of their starts.
-        closed: Set at the end.
+        runs: The current run by port.
+        ids: Counter for the instance ids of the runs.
+        closed: Set when the engines are shut down.
+        errors: Counter of bad requests, to answer some with an error.
     """
 
     def __init__(self, count, crash_mode, write, remove):
@@ -101,19 +102,19 @@
         self.closed.set()
 
     def end(self, count):
-        """End some engines at once, as a loss of power of their hosts does."""
+        """Crash some engines at once, like a power failure of their hosts."""
         alive = [one for one in self.runs.values() if not one.ended.is_set()]
         for run in alive[:count]:
             self._end(run)
 
     def reset(self):
-        """Reset the connections of all, which live on."""
+        """Reset the connections of all engines, which keep running."""
         for run in self.runs.values():
             for sock in list(run.open):
                 _reset(sock)
 
     def _run_engine(self, listener, port):
-        """Live again and again at one address."""
+        """Run an engine at one address and restart it after each crash."""
         while not self.closed.is_set():
             run = EngineRun(f"i-{next(self.ids)}")
             self.runs[port] = run
@@ -216,7 +217,7 @@
 def _reset(sock):
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
-        # A task that reads from it holds it open until it is woken.
+        # A thread that blocks in a read keeps the socket open until it wakes.
         sock.shutdown(socket.SHUT_RD)
         sock.close()
 
--- a/tests/daemons/crash_site.py
+++ b/tests/daemons/crash_site.py
@@ -1,4 +1,4 @@
-"""Routers as processes before engines that one request ends."""
+"""Router processes whose engines are crashed by a poison request."""
 
 import contextlib
 import threading
@@ -20,27 +20,28 @@
 
 ENGINES = 8
 ROUTERS = 3
-# Pause between two copies of the bad request, and between harmless ones.
+# Seconds between two copies of the bad request, and between harmless requests.
 COPY_EVERY_S = 0.15
 HARMLESS_EVERY_S = 0.05
-# Harmless requests that differ: each comes again after two seconds.
+# Number of different harmless requests: each is repeated after two seconds.
 KINDS = 40
-# A request is held back by all routers so long after its third crash.
+# Seconds after a request's third crash within which all routers hold it back.
 CONTACT_S = 3.0
 CRASHES = 3
 
 
 @dataclass
 class Outcome:
-    """What a play showed.
+    """The results of a scenario.
 
     Attributes:
-        ended: Engines that the bad request ended.
-        late: Of these, by copies that were sent later than the contact time
-            after the third.
-        after: Of these, by copies that were sent after the third.
-        bad: Answers to copies, by status; 0 for none.
-        harmless: Answers to harmless requests, by status; 0 for none whole.
+        ended: Engines that the bad request crashed.
+        late: Crashes by copies that were sent later than the contact time
+            after the third crash.
+        after: Crashes by copies that were sent after the third crash.
+        bad: Answers to the bad request, by status; 0 for no answer.
+        harmless: Answers to harmless requests, by status; 0 for no complete
+            answer.
     """
 
     ended: int = 0
@@ -51,14 +52,14 @@
 
 
 class CrashSite:
-    """A platform, routers, and engines.
+    """A platform, running routers, and engines.
 
     Attributes:
-        routers: The routers, ready.
+        routers: The routers, ready to serve.
         engines: The engines.
-        sent: When each copy was sent, by its id.
-        outcome: What was seen so far.
-        kinds: Harmless requests that differ.
+        sent: Moment at which each copy of the bad request was sent, by its id.
+        outcome: The results so far.
+        kinds: Number of different harmless requests.
     """
 
     def __init__(self, tmp_path, crash_mode, routers=ROUTERS, engines=ENGINES):
@@ -84,18 +85,18 @@
                 router.start()
             wait(lambda: all(router.is_ready() for router in self.routers))
         except BaseException:
-            # Nobody else has them yet, and they would run on.
+            # No caller has a reference yet, so the processes would run on.
             self.close()
             raise
 
     def run_bad_requests(self, seconds):
-        """Send copies, and harmless requests beside them; return what came."""
+        """Send bad and harmless requests side by side; return the results."""
         return self._run_callers(
             lambda: time.sleep(seconds), [self.send_bad_request]
         )
 
     def disturb(self, times, every_s, action):
-        """Do something again and again beside harmless requests alone."""
+        """Repeat an action while only harmless requests are sent."""
 
         def disturb():
             for _ in range(times):
@@ -121,7 +122,7 @@
         return self.result()
 
     def result(self):
-        """Return what was seen up to now."""
+        """Return the results up to now."""
         found = self.outcome
         ended = sorted(self.engines.ended)
         found.ended = len(ended)
@@ -140,7 +141,7 @@
         self.platform.wait()
 
     def ask(self, number, call_id, body):
-        """Send a request; return its status, 0 without a whole answer."""
+        """Send a request; return its status, 0 without a complete answer."""
         router = self.routers[number % len(self.routers)]
         fields = {"call_id": call_id, "path": "/s/x", "body": body}
         with (
@@ -151,7 +152,7 @@
         return 0
 
     def send_bad_request(self, number):
-        """Send a copy of the bad request."""
+        """Send a copy of the bad request and count its answer."""
         call_id = f"bad-{len(self.sent)}"
         self.sent[call_id] = time.monotonic()
         status = self.ask(number, call_id, BAD)
@@ -159,7 +160,7 @@
             self.outcome.bad[status] += 1
 
     def send_harmless(self, number):
-        """Send a request, of which the same comes again after a while."""
+        """Send one of the harmless requests, which repeat in turn."""
         body = b"harmless %d" % (number % self.kinds)
         status = self.ask(number, f"ok-{number}", body)
         with self.lock:
--- a/tests/daemons/observed_router.py
+++ b/tests/daemons/observed_router.py
@@ -1,4 +1,4 @@
-"""What a router in virtual time knows, and what it knew at each moment."""
+"""A router in virtual time whose state is sampled."""
 
 from lacewingdock.components.cordons import CordonListener
 from lacewingdock.components.mirror.listener import PerObjectListener
@@ -18,16 +18,17 @@
 
 
 class ObservedRouter:
-    """A router's parts that its mirrors tell, and a look at them.
+    """The components that a router's mirrors update, with samples of them.
 
     Attributes:
-        time: Its virtual time.
-        bounds: What it is held to.
-        look_s: Seconds between two looks.
+        time: The virtual time.
+        bounds: The router's propagation bounds.
+        look_s: Seconds between two samples.
         directory: The instances.
-        version: The configuration's version in force.
-        seen: (time, ids that work would go to, version in force).
-        health: What is known of the store.
+        version: Version of the configuration in force.
+        seen: (time, ids of the instances that accept work, version in
+            force).
+        health: The store's health state.
     """
 
     def __init__(self, time, bounds, sample_interval_s):
@@ -40,7 +41,7 @@
         self.health = build_store_health(lambda: bounds, time)
 
     def listeners(self):
-        """Return what is told of each kind."""
+        """Return the receivers of changes by kind."""
         nothing = PerObjectListener(lambda _: None)
         found = {
             KIND_CONFIGURATION: PerObjectListener(self._configure),
@@ -55,12 +56,12 @@
         return found
 
     def on_store_restored(self):
-        """Do what is done when the store is back from a copy."""
+        """Handle a restore of the store from a copy, as a router does."""
         self.health.restored()
         self.directory.hold_older_entries(hold_older_entries_s(self.bounds))
 
     def observe(self):
-        """Start the tasks that look."""
+        """Start the tasks that drop lapsed entries and take samples."""
         self.time.start(self._drop_lapsed)
         self.time.start(self._sample)
 
--- a/tests/daemons/relay_fleet.py
+++ b/tests/daemons/relay_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of routers that pass the store's news on, in virtual time."""
+"""A fleet of routers that relay changes of the store, in virtual time."""
 
 import random
 import threading
@@ -23,22 +23,22 @@
 from tests.daemons.observed_router import ObservedRouter
 from tests.virtual_time import VirtualTime
 
-# A datagram's way, and a busy router's turn.
+# Seconds for a datagram's transit and the scheduling delay of a busy router.
 DATAGRAM_DELAY_S = 0.01
-# A fetch between routers: a connection, a question and an answer.
+# Seconds for a fetch between routers: connection, request and answer.
 FETCH_DURATION_S = 0.03
 SAMPLE_INTERVAL_S = 0.1
 
 
 @dataclass
 class NetTroubles:
-    """What disturbs the routers among themselves.
+    """Network faults between routers.
 
     Attributes:
-        gone: Spans in which a router takes and sends nothing, by its name:
+        gone: Spans in which a router receives and sends nothing, by its name:
             it is frozen, dead or cut off from the others.
         parted: Pairs of routers that never reach each other.
-        loss: Part of the datagrams that get lost.
+        loss: Share of the datagrams that get lost, from 0 to 1.
     """
 
     gone: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
@@ -47,25 +47,25 @@
 
 
 class Fleet:
-    """Routers before one store.
+    """Routers that share one store.
 
     Attributes:
-        time: Their virtual time.
+        time: The virtual time of all routers.
         routers: The routers by name.
-        net: What disturbs them among themselves.
-        long_kinds: Kinds whose news are too long to be passed on.
+        net: Network faults between routers.
+        long_kinds: Kinds whose changes are too long to be relayed.
     """
 
     def __init__(self, count, written, troubles, bounds, own=None, net=None):
-        """Build routers.
+        """Build the routers, each with its own view of the store.
 
         Args:
-            count: How many.
-            written: What is written to the store.
-            troubles: What disturbs the store.
-            bounds: What the routers are held to.
-            own: What disturbs single routers' ways to the store, by name.
-            net: What disturbs the routers among themselves.
+            count: Number of routers.
+            written: Objects written to the store.
+            troubles: Faults of the store.
+            bounds: Propagation bounds of the routers.
+            own: Faults between single routers and the store, by name.
+            net: Network faults between routers.
         """
         self.time = VirtualTime()
         self.net = net or NetTroubles()
@@ -81,13 +81,13 @@
             )
 
     def run(self, until):
-        """Let all routers live until a moment."""
+        """Run all routers until a moment of the virtual time."""
         for router in self.routers.values():
             router.start()
         self.time.run(until)
 
     def reaches(self, sender, receiver):
-        """Whether bytes come from one router to another now."""
+        """Return whether one router can reach another now."""
         now = self.time.now()
         if frozenset((sender, receiver)) in self.net.parted:
             return False
@@ -98,14 +98,14 @@
         )
 
     def send(self, sender, receiver, data):
-        """Bring a datagram, unless it is lost."""
+        """Deliver a datagram, unless it is lost."""
         if not self.reaches(sender, receiver):
             return
         if self.draw.random() >= self.net.loss:
             self.routers[receiver].receive(decode(data))
 
     def calls(self, since=0.0):
-        """Return the calls to the store from a moment on."""
+        """Return the purposes of the calls to the store since a moment."""
         return [
             purpose
             for router in self.routers.values()
@@ -115,7 +115,7 @@
 
 
 class FleetRouter(ObservedRouter):
-    """One router of a fleet."""
+    """One router of a fleet, with its mirrors and its relay."""
 
     def __init__(self, fleet, name, names, written, troubles, bounds):
         super().__init__(fleet.time, bounds, SAMPLE_INTERVAL_S)
@@ -153,7 +153,7 @@
         return len(self.entries)
 
     def fetch(self, router, kind, revision):
-        """Fetch news, as `Routers.fetch` does."""
+        """Fetch changes, as `Routers.fetch` does."""
         if not self.fleet.reaches(self.name, router):
             self.time.sleep(PULL_TIMEOUT_S)
             return None
@@ -166,7 +166,7 @@
         )
 
     def start(self):
-        """Start the tasks."""
+        """Start the tasks of mirrors, relay and sampling."""
         stopping = threading.Event()
         for mirror in self.mirrors.values():
             self.time.start(mirror.run, stopping)
@@ -174,7 +174,7 @@
         self.observe()
 
     def receive(self, message):
-        """Take a message, as `RelayPort` does."""
+        """Handle a message, as `RelayPort` does."""
         if isinstance(message, FreshnessQuery):
             self.relay.follower.record_query()
             answer = self.relay.watcher.answer(message.router, message.number)
@@ -201,7 +201,7 @@
                     self.fleet.send(self.name, router, encode(query))
 
     def _pull(self, kind, revision):
-        """Ask two others for their copies, as `Routers.pull` does."""
+        """Fetch the copies of two other routers, as `Routers.pull` does."""
         found = []
         others = sorted(self.entries.keys() - {self.name})
         for name in self.draw.sample(
@@ -220,7 +220,7 @@
 
 
 def merge_troubles(one, other):
-    """Return the troubles of the store with those of one router."""
+    """Return the faults of the store combined with those of one router."""
     return Troubles(
         one.outages + other.outages,
         one.silenced + other.silenced,
--- a/tests/daemons/router_site.py
+++ b/tests/daemons/router_site.py
@@ -1,4 +1,4 @@
-"""A router as a process, before the platform's stand-in."""
+"""Router processes that call a simulated platform and a fake upstream."""
 
 import os
 import signal
@@ -102,7 +102,7 @@
 
 
 def configuration(version, **routes):
-    """Return a configuration with a route by prefix to a service each."""
+    """Return a configuration with one route by path prefix for each keyword."""
     return {
         "version": version,
         "routes": [
@@ -125,7 +125,7 @@
 
 
 def server(port):
-    """Return an instance's entry, as the platform's store has it."""
+    """Return an instance's entry in the form of the platform's store."""
     return {
         "service": "svc",
         "address": f"127.0.0.1:{port}",
@@ -139,15 +139,15 @@
 
 
 class Site:
-    """A platform, an upstream and two routers that are not started.
+    """A platform, an upstream and two routers that are not started yet.
 
     Attributes:
-        url: Where the platform answers.
-        api: A client of it.
+        url: Base URL of the platform.
+        api: Client of the platform's store.
         upstream: The upstream.
-        first: A router.
-        second: Another one, which knows the first.
-        revision: Revision of the configuration.
+        first: The first router.
+        second: The second router, with the first one in its list of peers.
+        revision: Revision of the stored configuration.
     """
 
     def __init__(self, tmp_path):
--- a/tests/daemons/test_load_sidecar.py
+++ b/tests/daemons/test_load_sidecar.py
@@ -1,4 +1,4 @@
-"""Tests of the sidecar of an engine as a process, before the stand-in."""
+"""Tests of a load sidecar process with a simulated platform and engine."""
 
 import http.server
 import os
@@ -38,10 +38,10 @@
 
 
 class Engine(http.server.ThreadingHTTPServer):
-    """An engine that reports its work.
+    """A fake engine that reports its load.
 
     Attributes:
-        active: Requests that run there.
+        active: Number of running requests that it reports.
     """
 
     daemon_threads = True
@@ -53,12 +53,12 @@
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
-    """Answers a question for the report."""
+    """Serves the load report."""
 
     protocol_version = "HTTP/1.1"
 
     def do_GET(self):
-        """Answer."""
+        """Send the report with the current load."""
         report = {"active": self.server.active, "queued": 1, "runs": []}
         body = msgspec.json.encode(report)
         self.send_response(200)
@@ -67,12 +67,12 @@
         self.wfile.write(body)
 
     def log_message(self, *_):
-        """Say nothing."""
+        """Suppress the access log."""
 
 
 @pytest.fixture
 def site(tmp_path):
-    """A platform that knows a router, an engine, and its sidecar."""
+    """A platform with the entry of a router, an engine, and its sidecar."""
     platform_port, first = free_port(), free_port()
     platform = start("standins.platform", f"--port={platform_port}")
     api = ObjectApi(f"http://127.0.0.1:{platform_port}")
@@ -107,19 +107,19 @@
 
 
 def ask(site):
-    """Return what the sidecar says; None while it is silent."""
+    """Return the load that the sidecar reports; None without an answer."""
     site.prober._silent.clear()
     return site.prober.ask(["127.0.0.2"]).get("127.0.0.2")
 
 
-def test_sidecar_tells_its_engines_load_and_its_loss(site):
+def test_sidecar_reports_its_engines_load_and_its_loss(site):
     wait(lambda: (found := ask(site)) and not found.lost)
     assert ask(site).running == 4
     site.engine.active = 9
     wait(lambda: (found := ask(site)) and found.running == 10)
     site.prober.announce("127.0.0.2", "c-1", 2.0)
     wait(lambda: (found := ask(site)) and found.running == 11)
-    # No report that can be.
+    # An invalid report.
     site.engine.active = -1
     wait(lambda: (found := ask(site)) and found.lost)
     os.kill(site.popen.pid, signal.SIGTERM)
@@ -130,10 +130,10 @@
 
 
 def test_changed_settings_do_not_end_a_sidecar(site):
-    """Symptom: sidecars end by themselves, twelve of twelve.
+    """Symptom: all sidecars exit, twelve of twelve.
 
-    Sequence: the settings files change, and the platform says so by SIGHUP.
-    Cause: the signal was not taken, and ends a process by default.
+    Sequence: the settings files change and the platform sends SIGHUP.
+    Cause: no handler was installed, and SIGHUP ends a process by default.
     """
     wait(lambda: ask(site) is not None)
     os.kill(site.popen.pid, signal.SIGHUP)
@@ -149,7 +149,7 @@
 
 
 def test_sidecar_that_is_gone_is_left_alone(site):
-    """Symptom: a router waits before each choice for a sidecar that died."""
+    """Guards against a router that waits for a dead sidecar at each choice."""
     wait(lambda: ask(site) is not None)
     site.popen.kill()
     site.popen.wait()
--- a/tests/daemons/test_router.py
+++ b/tests/daemons/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of the router as a process, before the platform's stand-in."""
+"""Tests of the router process with a simulated platform and upstreams."""
 
 import os
 import signal
@@ -58,7 +58,7 @@
     kept = router.connect()
     os.kill(router.popen.pid, signal.SIGTERM)
     wait(lambda: not router.is_ready(), 1.0)
-    # It serves on until the balancer has turned away, and says so.
+    # It serves until the load balancer stops sending, with `Connection: close`.
     status, headers, _ = router.call(kept, path="/r/x")
     assert (status, headers["connection"]) == (200, "close")
     thread.join()
@@ -69,8 +69,8 @@
         assert f'"message":"{message}"' in lines
 
 
-def test_changed_settings_are_taken_with_and_without_a_signal(site):
-    """Symptom: a longer grace time is in the file, and running answers end.
+def test_changed_settings_are_applied_with_and_without_a_signal(site):
+    """Symptom: the file has a longer grace time, yet running answers are cut.
 
     Cause: the settings file was read at start only.
     """
@@ -102,7 +102,7 @@
     return done.returncode, done.stdout + done.stderr
 
 
-def test_show_tells_what_a_running_router_believes(site):
+def test_show_prints_the_state_of_a_running_router(site):
     router = site.first
     router.start()
     wait(router.is_ready)
@@ -121,7 +121,7 @@
     first, *warnings = text.splitlines()
     assert status == 0
     assert first == f"{router.path}: settings of r-1 in d1, no faults"
-    # The contact time of these settings is too short for an outage's end.
+    # The contact time of these settings is too short to notice an outage's end.
     assert len(warnings) == 2
     for line in warnings:
         assert line.startswith("bound too short: contact 1.5 s: ")
@@ -130,7 +130,7 @@
 
 
 def test_a_failed_booking_is_explained_from_the_routers_own_log(site):
-    """A reset on the way: the captured log leads from the id to the cause."""
+    """Tests that the log leads from a request's id to a connection reset."""
 
     def reset(sock, *_):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
@@ -155,7 +155,7 @@
     for said in ("upstream=i-1", "result=Broken", "ConnectionReset"):
         assert said in own[1]
     assert "outcome=upstream_failed" in own[2]
-    # What the router had come to believe of configuration and upstream.
+    # The state of configuration and upstream that the router used.
     assert "configuration in force: version=9" in text
     assert "upstream: upstream=i-1 service=svc" in text
     status, text = command("explain", "--workspace=w-1", text=log)
@@ -163,9 +163,9 @@
 
 
 def test_request_that_crashes_instances_is_held_back_by_all_routers(site):
-    """Symptom: a request takes down two instances through each router.
+    """Symptom: a request crashes two instances through each router.
 
-    Cause: what one router saw of it, the others did not know.
+    Cause: the losses that one router observed were not known to the others.
     """
 
     def crashing(upstream):
@@ -202,8 +202,8 @@
 def test_callers_wait_while_a_router_is_loaded(site):
     """Symptom: after a kill, callers are refused until the router is loaded.
 
-    Sequence: all routers are killed; callers come again within a second.
-    Cause: the port was opened by the router, after everything was loaded.
+    Sequence: all routers are killed; callers reconnect within a second.
+    Cause: the router opened the port only after all modules were imported.
     """
     router = site.first
     env = {"LACEWINGDOCK_CONFIG": str(router.path)}
@@ -245,10 +245,11 @@
     assert (done.returncode, "bad_setting" in done.stderr) == (2, True)
 
 
-def test_router_that_starts_in_an_outage_learns_from_another(site):
-    """Symptom: a restarted router refuses everything until the store is back.
+def test_router_that_starts_in_an_outage_copies_from_another(site):
+    """Symptom: a restarted router refuses all requests during an outage.
 
-    Cause: it knew no other router, since their addresses are in the store.
+    Cause: it had no address of another router to fetch copies from, since the
+    addresses are in the store.
     """
     site.first.start()
     wait(site.first.is_ready)
--- a/tests/daemons/test_router_cordons.py
+++ b/tests/daemons/test_router_cordons.py
@@ -1,4 +1,4 @@
-"""Tests that cordons are in force in time on each router of a fleet."""
+"""Tests that each router of a fleet applies cordons within their bound."""
 
 from dataclasses import replace
 
@@ -19,14 +19,14 @@
 )
 from tests.daemons.test_router_relay import MIDDLE, SMALL, watchers_of
 
-# All instances stand in one failure domain.
+# The failure domain of all instances.
 DOMAIN = "d"
 CORDONED = replace(MIDDLE, cordon_s=5.0)
 SET_AT, LIFTED_AT = 12.0, 24.0
 
 
 def check(count, *, bounds=CORDONED, troubles=None, own=None, net=None):
-    """Run a fleet in which a cordon is set and lifted."""
+    """Run a fleet in which a cordon is set and lifted; check each router."""
     troubles, net = troubles or Troubles(), net or NetTroubles()
     written = [
         *first_written(),
@@ -65,10 +65,10 @@
 @pytest.mark.parametrize(
     "troubles",
     [
-        # The store is down as the cordon is set, and comes back.
+        # The store is down when the cordon is set, and recovers.
         Troubles([Outage(11.5, 13.5)]),
         Troubles([Outage(11.9, 16.0, silent=False)]),
-        # Connections went silent, the history was dropped.
+        # Connections went silent; the history was dropped.
         Troubles(silenced=[11.8]),
         Troubles(forgotten=[11.9], silenced=[11.8]),
         Troubles(cuts=[12.0, 12.1, 12.4]),
@@ -82,14 +82,14 @@
 @pytest.mark.parametrize("count", [4, 28])
 @pytest.mark.parametrize("silent", [True, False])
 def test_in_force_where_the_store_turns_routers_away(count, silent):
-    """Symptom: a router that is turned away goes on sending there.
+    """Symptom: a router that the store rejects keeps using a cordoned domain.
 
-    Cause: it has no news of its own while the store serves the others.
+    Cause: it receives no changes itself while the store serves the others.
     """
     turned_away = Troubles([Outage(11.0, 22.0, silent, for_all=False)])
     names = {f"r-{number}" for number in range(0, count, 3)}
     fleet = check(count, own=dict.fromkeys(names, turned_away))
-    # They are not held to the bound, but others' copies are there to be had.
+    # The bound does not apply to them, but they can fetch others' copies.
     for name in names:
         for at, found, _ in fleet.routers[name].samples:
             if SET_AT + CORDONED.cordon_s < at < 22.0:
--- a/tests/daemons/test_router_crashing_requests.py
+++ b/tests/daemons/test_router_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Tests of routers before engines that one request ends."""
+"""Tests of routers whose engines are crashed by a poison request."""
 
 import pytest
 
@@ -6,7 +6,8 @@
 from tests.daemons.crash_site import CRASHES, CrashSite
 from tests.waiting import wait
 
-# The third engine ends within a second, the rest is beyond the contact time.
+# Seconds: the third engine crashes within the first, and what remains is longer
+# than the contact time.
 SCENARIO_S = 8.0
 
 
@@ -27,12 +28,13 @@
     ],
 )
 def test_request_that_ended_three_engines_is_held_back(tmp_path, crash_mode):
-    """Guards against a crash that leaves no trace, as it isn't a reset alone.
+    """Guards against crashes that are not detected, as they are no mere reset.
 
-    Symptom: one request ends engine after engine, and a third of all others
-    are not served. Sequence: the engine begins to answer it and ends, or its
-    port takes connections for a while. Cause: what was answered in part, or
-    closed, did not count as a loss, and an open port counted as life.
+    Symptom: one request crashes engine after engine, and a third of all other
+    requests fail. Sequence: the engine begins to answer and crashes, or its
+    port accepts connections for a while afterwards. Cause: a partial answer or
+    a closed connection did not count as a loss, and an open port counted as a
+    live engine.
     """
     site = CrashSite(tmp_path, crash_mode)
     try:
@@ -45,11 +47,11 @@
 
 
 def test_routers_that_are_all_killed_still_hold_it_back(tmp_path):
-    """Guards against what three engines showed being lost with the routers.
+    """Guards against losing the evidence of three crashes with the routers.
 
-    Symptom: a request ends four engines and more beyond the first three.
-    Sequence: it is held back by all routers; all are killed and start again.
-    Cause: what was known was in their memory, and void in the store.
+    Symptom: a request crashes four engines and more beyond the first three.
+    Sequence: all routers hold the request back; all are killed and restarted.
+    Cause: the evidence was in their memory only; that in the store was void.
     """
     site = CrashSite(tmp_path, CrashMode())
     try:
@@ -74,7 +76,7 @@
     ],
 )
 def test_harmless_requests_are_not_held_back(tmp_path, times, every_s, action):
-    """Guards against requests that pay for engines that others ended."""
+    """Guards against holding back requests for crashes that others caused."""
     site = CrashSite(tmp_path, CrashMode())
     try:
         found = site.disturb(times, every_s, lambda: action(site.engines))
--- a/tests/daemons/test_router_mirrors.py
+++ b/tests/daemons/test_router_mirrors.py
@@ -1,7 +1,7 @@
-"""Tests that news of the platform's store is in force in time.
+"""Tests that changes of the platform's store are in force in time.
 
-A router's mirrors run in virtual time before a store with troubles drawn at
-random, and what it would send work to is looked at all the while.
+A router's mirrors run in virtual time with a simulated store whose faults are
+drawn at random, while the instances that the router would use are sampled.
 """
 
 import math
@@ -36,10 +36,10 @@
 BOUNDS = Bounds(contact_s=3.0, drain_s=2.0, apply_s=2.0)
 INSTANCES = ("a", "b", "c", "d")
 SAMPLE_INTERVAL_S = 0.05
-# Sums of moments are rounded.
+# Tolerance, in seconds, for rounding errors in sums of moments.
 ROUNDING_S = 0.001
-# Entries run out after three intervals of silence, and are back within about
-# two seconds of the store's return.
+# Seconds: entries expire after three heartbeat intervals of silence, and are
+# written again within about two seconds of the store's recovery.
 HEARTBEAT_S = 1.2
 BACK_S = 2.0
 
@@ -59,10 +59,10 @@
 
 
 class PeerRouters:
-    """The other routers, as one router finds them.
+    """The other routers, as seen by one router.
 
     Attributes:
-        silent: Whether none of them answers.
+        silent: Whether none of the other routers answers.
     """
 
     def __init__(self, time, store, troubles, silent):
@@ -72,7 +72,7 @@
         self.silent = silent
 
     def pull(self, kind, revision):
-        """Answer with the newest copy, as `Routers.pull` does."""
+        """Return the newest copy of the peers, as `Routers.pull` does."""
         if self.silent:
             self.time.sleep(ROUTERS_PER_PULL * PULL_TIMEOUT_S)
             return Copy(sure=False)
@@ -86,7 +86,7 @@
 
 
 class Router(ObservedRouter):
-    """One router, with the others as it finds them."""
+    """One router with simulated peers."""
 
     def __init__(self, written, troubles, bounds, silent, seed):
         super().__init__(VirtualTime(), bounds, SAMPLE_INTERVAL_S)
@@ -106,7 +106,7 @@
         )
 
     def run(self, until):
-        """Live until a moment; return what was seen."""
+        """Run until a moment of the virtual time; return the samples."""
         stopping = threading.Event()
         for mirror in self.mirrors.values():
             self.time.start(mirror.run, stopping)
@@ -116,14 +116,14 @@
 
 
 def undisturbed(spans, at, contact_s):
-    """Whether none of some spans reaches into the time before a moment."""
+    """Return whether no fault span touches the contact time before a moment."""
     return all(
         end < at - contact_s - ROUNDING_S or start > at for start, end in spans
     )
 
 
 def expire_entries(outage, names, draw):
-    """Return what an outage does to the entries of instances that live."""
+    """Return how entries of live instances expire and return in an outage."""
     if not outage.for_all or outage.end - outage.start < 2 * HEARTBEAT_S:
         return []
     found = []
@@ -140,7 +140,7 @@
 
 
 def restored_in_time(outage, written):
-    """Return the instances whose entries are back soon after an outage."""
+    """Return the instances whose entries are written soon after an outage."""
     back = {
         one.name: one.at for one in written if one.spec and one.at >= outage.end
     }
@@ -152,7 +152,7 @@
 
 
 def first_written():
-    """Return what the store holds at the start."""
+    """Return the writes that the store holds at the start."""
     return [
         *(Written(0, KIND_INSTANCES, name, entry(name)) for name in INSTANCES),
         Written(0, KIND_CONFIGURATION, "main", {"version": 1}),
@@ -160,16 +160,16 @@
 
 
 def check(troubles, leaving, changed_at, bounds=BOUNDS, silent=False, seed=1):
-    """Run a router; check that what changes is in force in time.
+    """Run a router; check that changes are in force within their bounds.
 
     Args:
-        troubles: What disturbs it.
-        leaving: When which instances leave, as (time, name, state of the
-            entry, None where it is removed).
-        changed_at: When the configuration changes.
-        bounds: What the router is held to.
+        troubles: Faults of the store.
+        leaving: Instances that leave, as (time, name, state of the entry, or
+            None if the entry is removed).
+        changed_at: Moments at which the configuration changes.
+        bounds: The router's propagation bounds.
         silent: Whether no other router answers.
-        seed: Of all draws.
+        seed: Seed of the random numbers.
     """
     draw = random.Random(seed)
     leavers = {name for _, name, _ in leaving}
@@ -203,21 +203,20 @@
 
 
 def test_entry_removed_soon_after_an_outage_gets_nothing_after_its_bound():
-    """Symptom: an instance gets work 2.2 and 2.5 s after its entry went.
-
-    Sequence: the store answers nobody for nine seconds; entries run out.
-    Calls that the routers began in the last moments hang, so a router sees
-    the store's return two seconds late, and later still where another call
-    of that time fails after the first answer. An instance leaves 3.3 s after
-    the return: its entry is removed.
-
-    Cause: a removal that is seen within 2.3 s after the return, as this
-    router sees it, was held for an entry that ran out, and its instance went
-    on getting work until these were over, and 0.2 s. Shown by the state
-    `lapsed` of an instance that had left, on four routers of four, with
-    attempts counted at it.
+    """Symptom: an instance gets work 2.2 and 2.5 s after its entry is removed.
+
+    Sequence: the store answers no call for nine seconds; entries expire. Calls
+    that began shortly before its recovery hang, so a router notices the
+    recovery two seconds late, or later if another such call fails after the
+    first answer. An instance leaves 3.3 s after the recovery: its entry is
+    removed.
+
+    Cause: a removal within 2.3 s after the recovery, as noticed by this
+    router, counted as an expired entry, and its instance got work until these
+    2.3 s and another 0.2 s were over. On four routers of four, an instance
+    that had left was in the state `lapsed` and attempts were counted at it.
     """
-    # What the router's calls wait for at the return hangs on its moment.
+    # The moment of the recovery determines which calls are hanging then.
     for number, end in enumerate(32.0 + tenth / 10 for tenth in range(30)):
         check(
             Troubles([Outage(25.0, end)]),
@@ -228,7 +227,7 @@
 
 
 def span_of(start, end):
-    """Return a strategy of moments."""
+    """Return a strategy of moments, in seconds with two decimals."""
     return st.floats(start, end).map(lambda at: round(at, 2))
 
 
@@ -280,15 +279,17 @@
 @example(Troubles(silenced=[10.0]), [(11.1, "a", None)], [10.9], True, 1)
 @example(Troubles(forgotten=[10.0]), [(10.1, "a", "draining")], [], True, 1)
 @settings(derandomize=True, deadline=None, max_examples=300)
-def test_news_is_in_force_in_time(troubles, leaving, changed_at, silent, seed):
-    """Symptom: work for an instance that left, or by an old configuration.
+def test_changes_are_in_force_in_time(
+    troubles, leaving, changed_at, silent, seed
+):
+    """Symptom: an old configuration, or an instance that left, is used.
 
     Sequence: connections go silent, watches are cut, history is dropped, the
-    store is slow or answers nobody, or not this router, and others may not
-    answer either; meanwhile instances leave, with a word or without.
+    store is slow, or does not answer any router or only this one, and other
+    routers may not answer either; meanwhile instances leave, announced or not.
 
-    Cause: a path of the news that takes longer than the time after which
-    the router counts as undisturbed again.
+    Cause: a propagation path takes longer than the time after which the router
+    counts as undisturbed again.
     """
     check(troubles, leaving, changed_at, silent=silent, seed=seed)
 
@@ -299,10 +300,10 @@
 def test_instances_whose_entries_ran_out_go_on_getting_work(
     silent, length_s, seed
 ):
-    """Symptom: all requests are refused while the store comes back.
+    """Symptom: all requests are refused while the store recovers.
 
-    Entries run out while nobody can write them. Those that are back an
-    interval after the store's return were never gone.
+    Entries expire while the store accepts no writes. Instances whose entries
+    are written again within an interval of the recovery never stopped running.
     """
     outage = Outage(10.0, 10.0 + length_s, silent)
     draw = random.Random(seed)
--- a/tests/daemons/test_router_pauses.py
+++ b/tests/daemons/test_router_pauses.py
@@ -1,4 +1,4 @@
-"""Tests of a router's process that is paused with calls of its callers."""
+"""Tests of a router process that is paused while callers' requests wait."""
 
 import os
 import signal
@@ -31,8 +31,8 @@
 def test_paused_router_begins_nothing_whose_caller_left(site, kind):
     """Symptom: upstreams work for callers that left during a pause.
 
-    Events: calls wait in the sockets of a paused router; their callers give
-    up, one after the other; the router goes on.
+    Sequence: requests wait in the sockets of a paused router; their callers
+    disconnect one after the other; the router resumes.
     """
     router = ready_router(site)
     socks = [router.connect() for _ in range(CALLS)]
@@ -50,10 +50,10 @@
 
 
 def test_router_that_wakes_after_the_deadline_sends_nothing(site):
-    """Symptom: a request runs again after its caller's time is over.
+    """Symptom: a request is retried after its deadline.
 
-    Events: a router is paused with an attempt under way, past the request's
-    deadline; the attempt's upstream is silent.
+    Sequence: a router is paused with an attempt in flight until after the
+    request's deadline; the attempt's upstream does not answer.
     """
     router = ready_router(site)
     silent = [Upstream(lambda *_: time.sleep(20)) for _ in range(2)]
--- a/tests/daemons/test_router_relay.py
+++ b/tests/daemons/test_router_relay.py
@@ -1,4 +1,4 @@
-"""Tests that a few watchers do for a fleet, whatever becomes of them."""
+"""Tests that a few watchers relay changes to a fleet, even if they fail."""
 
 import random
 
@@ -29,7 +29,7 @@
 LARGE = Bounds(contact_s=5.0, drain_s=4.0, apply_s=4.0)
 MIDDLE = Bounds(contact_s=4.0, drain_s=3.0, apply_s=3.0)
 SMALL = Bounds(contact_s=3.0, drain_s=2.0, apply_s=2.0)
-# What a request takes from the choice of its instance to its first byte.
+# Number of routers of a fleet.
 ROUTERS = 9
 
 
@@ -38,7 +38,7 @@
 
 
 def watchers_of(count, name):
-    """Return the two routers that a router listens to first."""
+    """Return the two routers that a router prefers as watchers."""
     return rank_watchers(names(count), name)[:2]
 
 
@@ -54,19 +54,19 @@
     seed=1,
     long_kinds=(),
 ):
-    """Run a fleet; check that news is in force in time on each router.
+    """Run a fleet; check that changes are in force in time on each router.
 
     Args:
-        leaving: When which instances leave, as (time, name, state of the
-            entry, None where it is removed).
-        changed_at: When the configuration changes.
-        troubles: What disturbs the store.
-        own: What disturbs single routers' ways to it.
-        net: What disturbs the routers among themselves.
-        count: How many routers there are.
-        bounds: What they are held to.
-        seed: Of all draws.
-        long_kinds: Kinds whose news are too long to be passed on.
+        leaving: Instances that leave, as (time, name, state of the entry, or
+            None if the entry is removed).
+        changed_at: Moments at which the configuration changes.
+        troubles: Faults of the store.
+        own: Faults between single routers and the store, by name.
+        net: Network faults between routers.
+        count: Number of routers.
+        bounds: Propagation bounds of the routers.
+        seed: Seed of the random numbers.
+        long_kinds: Kinds whose changes are too long to be relayed.
 
     Returns:
         The fleet.
@@ -122,11 +122,11 @@
         (68, LARGE, True),
         (26, MIDDLE, True),
         (1200, LARGE, True),
-        # The bounds leave no time for a watcher that vanishes.
+        # The bounds leave no time to replace a watcher that fails.
         (68, SMALL, False),
     ],
 )
-def test_followed_where_it_pays(count, bounds, used):
+def test_relay_is_used_where_it_reduces_calls(count, bounds, used):
     assert relay_reduces_calls(count, bounds) is used
 
 
@@ -136,7 +136,8 @@
 def test_calm_fleet_calls_by_its_watchers_only(count, bounds, per_s):
     """Symptom: 68 routers make 150 calls a second on a calm day.
 
-    Cause: each watched for itself, and each watch that ends is a call.
+    Cause: each router watched the store itself, and each watch that ends
+    causes a call.
     """
     fleet = check(count=count, bounds=bounds)
     calls = fleet.calls(since=6.0)
@@ -147,8 +148,8 @@
     assert len(following) >= count - 4
 
 
-def test_news_comes_at_once():
-    """All routers know of a change in well under a second."""
+def test_changes_arrive_at_once():
+    """Tests that all routers apply a change within a second."""
     fleet = check([(10.0, "a", None)], [12.0], count=68)
     for router in fleet.routers.values():
         for at, found, version in router.samples:
@@ -163,10 +164,9 @@
 @pytest.mark.parametrize("length_s", [0.5, 3.0, 30.0])
 @pytest.mark.parametrize("tenths", range(0, 10, 3))
 def test_watchers_freeze_or_die(gone, length_s, tenths):
-    """Symptom: a configuration is in force late, on routers that are sound.
+    """Symptom: a configuration is in force late on healthy routers.
 
-    Sequence: those that watch for all others freeze; a change comes; nobody
-    tells it.
+    Sequence: the watchers freeze; a change is written; no router relays it.
     """
     start = 10.0 + tenths / 10
     net = NetTroubles({name: [(start, start + length_s)] for name in gone})
@@ -177,11 +177,11 @@
 @pytest.mark.parametrize("silent", [True, False])
 @pytest.mark.parametrize("tenths", range(0, 20, 3))
 def test_watchers_are_cut_from_the_store(cut, silent, tenths):
-    """Symptom: work for an instance that left, by routers that are in touch.
+    """Symptom: connected routers use an instance that left.
 
-    Sequence: the watchers' calls hang while they answer the others; they do
-    not know yet that they are cut off. Cause: a copy that was vouched for by
-    who could not know.
+    Sequence: the watchers' calls to the store hang while they answer queries;
+    they have not noticed yet that they are cut off. Cause: a watcher confirmed
+    a copy that it could not check itself.
     """
     start = 9.0 + tenths / 10
     own = {
@@ -282,16 +282,16 @@
     max_examples=30,
     phases=[Phase.explicit, Phase.generate],
 )
-def test_news_is_in_force_in_time(
+def test_changes_are_in_force_in_time(
     troubles, own, gone, loss, leaving, changed_at, bounds, seed
 ):
-    """Symptom: work for an instance that left, or by an old configuration.
+    """Symptom: an old configuration, or an instance that left, is used.
 
-    Sequence: routers that watch for others freeze, die, are cut from the
-    store or from the others, datagrams are lost, the store is disturbed, in
-    any order; meanwhile instances leave and configurations change.
+    Sequence: watchers freeze, die, or are cut off from the store or from other
+    routers, datagrams are lost, and the store fails, in any order; meanwhile
+    instances leave and configurations change.
 
-    Cause: a path of the news that is longer than a bound.
+    Cause: a propagation path that is longer than a bound.
     """
     check(
         leaving,
@@ -305,14 +305,14 @@
 
 
 def test_connection_that_went_silent_before_a_router_followed():
-    """Symptom: work for an instance 10 ms after its bound.
+    """Symptom: an instance gets work 10 ms after its bound.
 
-    Sequence: all open connections go silent; a watcher opens another, and the
-    others go by its word; it freezes 2 s later, an instance leaves. A follower
-    asks the store in time, on its own connection of before, which is silent
-    still: the call hangs for a second.
+    Sequence: all open connections go silent; a watcher opens a new one, and
+    the others follow its reports; it freezes 2 s later and an instance leaves.
+    A follower calls the store in time, but on its old connection, which is
+    still silent: the call hangs for a second.
 
-    Cause: a connection was kept that nobody used.
+    Cause: an unused connection was kept open.
     """
     check(
         [(12.69, "b", None)],
@@ -341,11 +341,11 @@
 def test_instances_whose_entries_ran_out_go_on_getting_work(
     silent, length_s, seed
 ):
-    """Symptom: all requests are refused while the store comes back.
+    """Symptom: all requests are refused while the store recovers.
 
-    Sequence: entries run out in an outage that a follower does not notice,
-    since its copy was young enough all the while. Cause: the watcher's doubt
-    did not come with its news.
+    Sequence: entries expire in an outage that a follower does not notice,
+    since its copy stayed fresh enough. Cause: the watcher's doubt about the
+    store was not relayed with its changes.
     """
     outage = Outage(10.0, 10.0 + length_s, silent)
     draw = random.Random(seed)
@@ -363,7 +363,7 @@
 def test_outage_costs_calls_of_few(silent):
     """Symptom: an outage of eight seconds costs 6,000 refused calls.
 
-    Cause: each of 68 routers asked for each of five kinds, again and again.
+    Cause: each of 68 routers called repeatedly for each of five kinds.
     """
     outage = Outage(10.0, 18.0, silent)
     fleet = Fleet(68, first_written(), Troubles([outage]), LARGE)
@@ -377,12 +377,12 @@
 
 @pytest.mark.parametrize("bounds", [LARGE, MIDDLE])
 @pytest.mark.parametrize("tenths", range(0, 10, 3))
-def test_news_that_are_too_long_are_had_from_the_store(bounds, tenths):
+def test_changes_that_are_too_long_are_fetched_from_the_store(bounds, tenths):
     """Symptom: a request is refused by a configuration that is 6 s old.
 
     Sequence: the configuration grows by 1,756 routes; each follower fetches
-    all of it from one watcher, whose link is of 5 Mbit/s; the fetch takes
-    too long, and is made again. Cause: news of any length were passed on.
+    all of it from one watcher with a link of 5 Mbit/s; the fetch takes too
+    long and is repeated. Cause: changes of any length were relayed.
     """
     at = 10.0 + tenths / 10
     fleet = check(
--- a/tests/daemons/test_router_restore.py
+++ b/tests/daemons/test_router_restore.py
@@ -1,4 +1,4 @@
-"""Tests of a router whose platform's store comes back from an older copy."""
+"""Tests of router processes whose store is restored from an older copy."""
 
 import os
 import signal
@@ -13,14 +13,14 @@
 from tests.daemons.router_site import configuration, server
 from tests.waiting import wait
 
-# As the routers' settings have it, and by default.
+# Seconds: the contact time of the routers' settings, and two default bounds.
 CONTACT_S = 1.5
 APPLY_S = 2.0
 DRAIN_S = 2.0
 
 
 def configure(site, version, **routes):
-    """Write a configuration over what is there, as an operator does."""
+    """Overwrite the stored configuration, as an operator does."""
     found = site.api.read("config", "main", "test")
     spec = configuration(version, r="idempotent", **routes)
     written, _ = site.api.write("config", "main", spec, found.revision, "test")
@@ -28,7 +28,7 @@
 
 
 def apply_changes(site, routers):
-    """Start routers, and have five changes in force that a copy may lack."""
+    """Start routers and apply five changes that a restored copy may lack."""
     for router in routers:
         router.start()
     for router in routers:
@@ -40,7 +40,7 @@
 
 
 def restore_store(site, lost):
-    """Have the store come back from a copy that lacks the last changes."""
+    """Restore the store from a copy that lacks the last changes."""
     call("POST", f"{site.url}/restore", {"lost": lost})
 
 
@@ -50,17 +50,17 @@
 ):
     """Symptom: a change that was acknowledged is not in force for seconds.
 
-    Sequence: the store comes back from a copy that lacks five changes, some
+    Sequence: the store is restored from a copy that lacks five changes, some
     are written again, and the operator writes the next configuration.
 
-    Cause: its revisions were given out again, and were compared with those
-    of the history that was lost.
+    Cause: the store assigned the same revisions again, and the router compared
+    them with those of the lost history.
     """
     router = site.first
     apply_changes(site, [router])
     restore_store(site, 5)
     for number in range(rewritten):
-        # Other writers' changes count as well.
+        # Changes of other writers increase the revision, too.
         site.api.write("routers-of-others", f"o-{number}", {}, 0, "test")
     time.sleep(CONTACT_S)
     configure(site, 20, new="idempotent")
@@ -72,14 +72,14 @@
 def test_instance_that_leaves_after_the_stores_return_from_a_copy_gets_nothing(
     site, rewritten
 ):
-    """Symptom: an instance that says that it leaves gets requests for seconds.
+    """Symptom: an instance that announced its stop gets requests for seconds.
 
-    Sequence: the store comes back from a copy that lacks five changes, the
+    Sequence: the store is restored from a copy that lacks five changes, the
     entry of an instance among them; some are written again, and another
-    instance says that it leaves.
+    instance announces that it is leaving.
 
-    Cause: the revision of its word had been given out before, so that the
-    router's watch went on beyond it.
+    Cause: the revision of this announcement had been assigned before, so the
+    router's watch continued beyond it.
     """
     other = Upstream()
     site.api.write("servers", "i-2", server(other.port), 0, "test")
@@ -112,9 +112,9 @@
 
 
 def test_routers_entries_that_the_copy_lacks_are_written_again(site):
-    """Symptom: after the store's return nobody knows a router for minutes.
+    """Symptom: after a restore of the store a router has no entry for minutes.
 
-    Cause: it announced itself again ten minutes later.
+    Cause: it announced itself again only ten minutes later.
     """
     routers = site.first, site.second
     for router in routers:
@@ -128,11 +128,11 @@
 
 
 def test_router_that_was_frozen_over_the_return_goes_by_the_new_history(site):
-    """Symptom: a router that wakes brings back what the store lost.
+    """Symptom: a router that resumes brings back objects that the store lost.
 
-    Sequence: one router freezes, the store comes back from a copy, the
-    operator writes on, and the router wakes. Cause: it knows higher counts
-    than the others, and would be asked for the newest copy.
+    Sequence: one router freezes, the store is restored from a copy, the
+    operator writes again, and the router resumes. Cause: it holds higher
+    revisions than the others, so its copy would count as the newest.
     """
     routers = site.first, site.second
     apply_changes(site, routers)
@@ -149,13 +149,16 @@
 
 
 def test_several_returns_in_a_row_leave_the_last_configuration_in_force(site):
-    """Symptom: a router is deaf since the store came back twice in a second."""
+    """Guards against watches that miss changes after repeated restores.
+
+    Symptom: a router receives no changes after two restores in a second.
+    """
     router = site.first
     apply_changes(site, [router])
     for lost in (2, 3, 1):
         restore_store(site, lost)
         site.api.write("routers-of-others", f"o-{lost}", {}, 0, "test")
-        # What was in force stays so, whatever the copy shows.
+        # The configuration in force stays, whatever the copy holds.
         assert router.call(path="/lost/x")[0] == 200
         time.sleep(0.3)
     configure(site, 20, new="idempotent")
@@ -166,7 +169,7 @@
 
 
 def test_router_that_starts_in_the_return_serves(site):
-    """Symptom: a router that starts while the store returns is never ready."""
+    """Symptom: a router that starts during restores never becomes ready."""
     site.first.start()
     wait(site.first.is_ready)
     site.second.start()
--- a/tests/daemons/test_router_returns.py
+++ b/tests/daemons/test_router_returns.py
@@ -1,8 +1,8 @@
-"""Tests of routers whose store comes back from an older copy, in virtual time.
+"""Tests of routers whose store is restored from a copy, in virtual time.
 
-Each return takes back the last seconds of what the store acknowledged; its
-writers write theirs again within two seconds. What is given out again, how
-long the store is away and what the copy lacks is drawn at random.
+Each restore loses the last seconds of the acknowledged writes; the writers
+repeat theirs within two seconds. Which revisions are assigned again, how long
+the store is unavailable and what the copy lacks is drawn at random.
 """
 
 import random
@@ -32,10 +32,10 @@
 )
 
 LARGE = Bounds(contact_s=5.0, drain_s=4.0, apply_s=4.0)
-# Entries that the copy lacks are back within about two seconds.
+# Seconds within which entries that the copy lacks are written again.
 BACK_S = 2.0
-# What a router takes to notice that they are not, at the most: a look at
-# whether doubt is over, and what its first answer took.
+# Seconds until a router notices at the latest that an entry is not written
+# again: a check whether the doubt is over, and the time of its first answer.
 NOTICED_S = 1.5
 
 
@@ -51,7 +51,7 @@
 
 
 def apart(returns):
-    """Return spans one after the other, the next soon after one's end."""
+    """Return the restores without overlaps, moved to 0.3 s apart if needed."""
     found = []
     for one in sorted(returns, key=lambda one: one.start):
         if found and one.start <= found[-1].end:
@@ -77,16 +77,17 @@
     [Return(9.0, 9.0, True, True, 6.0)], [], [], [], [4, 5, 6, 12.2], True, 1
 )
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_news_after_returns_from_copies_is_in_force_in_time(
+def test_changes_after_restores_are_in_force_in_time(
     returns, cuts, silenced, leaving, changed_at, silent, seed
 ):
-    """Symptom: work by an old configuration, or for an instance that left.
+    """Symptom: an old configuration, or an instance that left, is used.
 
-    Sequence: the store is away for up to six seconds, once or several times,
-    and comes back without its last seconds, at counts below or beyond what
-    the router knew; meanwhile instances leave and configurations change.
+    Sequence: the store is unavailable for up to six seconds, once or several
+    times, and is restored without its last seconds, at revisions below or
+    above those that the router holds; meanwhile instances leave and
+    configurations change.
 
-    Cause: counts that are given out again, taken for those known before.
+    Cause: revisions that are assigned again were taken for the earlier ones.
     """
     troubles = Troubles(returns, silenced, cuts)
     moments = leaving or [(30.0, "a", None)]
@@ -94,7 +95,7 @@
 
 
 def lost(name="new", at=9.0):
-    """Return the first writing of an entry that copies of before lack."""
+    """Return the first write of an entry that copies made earlier lack."""
     spec = entry("d") | {"address": "10.0.0.9:80"}
     return Written(at, KIND_INSTANCES, name, spec)
 
@@ -105,11 +106,11 @@
 def test_instances_whose_entries_the_copy_lacks_go_on_getting_work(
     silent, away_s, seed
 ):
-    """Symptom: an instance that lives gets nothing for a second or two.
+    """Symptom: a live instance gets no work for a second or two.
 
-    Sequence: the store comes back from a copy of before its entry, which is
-    written again within two seconds. Cause: where the outage was too short to
-    be noticed, what a list lacks was taken for gone at once.
+    Sequence: the store is restored from a copy older than its entry, which is
+    written again within two seconds. Cause: if the outage was too short to be
+    noticed, an entry missing from a list counted as removed at once.
     """
     start = 10.0 + seed / 3
     back = Return(start, start + away_s, silent, True, 4.0)
@@ -124,8 +125,9 @@
 def test_instance_whose_entry_does_not_come_back_is_gone(away_s):
     """Symptom: an instance gets work for seconds after its entry was lost.
 
-    Sequence: it dies while the store is away, which comes back from a copy of
-    before its entry. Cause: no list without the entry was taken.
+    Sequence: it dies while the store is unavailable; the store is restored
+    from a copy older than its entry. Cause: no list without the entry was
+    accepted.
     """
     back = Return(10.0, 10.0 + away_s, False, True, 4.0, frozenset({"new"}))
     written = [*first_written(), lost()]
@@ -143,9 +145,9 @@
 ):
     """Symptom: an instance that had left gets requests again.
 
-    Sequence: it leaves, the store comes back from a copy of before, and its
-    word is written again up to two seconds later. Cause: its entry was taken
-    for a new one.
+    Sequence: it leaves, the store is restored from an earlier copy, and its
+    announcement is written again up to two seconds later. Cause: the old entry
+    in the copy counted as a new one.
     """
     start = 10.0 + seed / 3
     back = Return(start, start + away_s, False, True, 4.0)
@@ -160,12 +162,12 @@
 @pytest.mark.parametrize("count", [4, 9, 40])
 @pytest.mark.parametrize("away_s", [0.0, 0.5, 3.0])
 @pytest.mark.parametrize("seed", range(3))
-def test_fleet_takes_news_after_a_return_in_time(count, away_s, seed):
-    """Symptom: followers go by the history that the store lost.
+def test_fleet_applies_changes_after_a_restore_in_time(count, away_s, seed):
+    """Symptom: followers use the history that the store lost.
 
-    Sequence: the store comes back from a copy; one router was cut off from it
-    and the others since before, and is in touch again later. Cause: its copy
-    counts further, and was taken for the newest.
+    Sequence: the store is restored from a copy; one router was cut off from it
+    and from the others since before, and is reconnected later. Cause: its copy
+    has a higher revision and counted as the newest.
     """
     draw = random.Random(seed)
     start = 10.0 + draw.uniform(0, 2)
@@ -184,11 +186,11 @@
     )
 
 
-def test_herd_of_a_return_is_bounded():
-    """Symptom: after a return all routers ask for whole lists in one second.
+def test_calls_after_a_restore_are_bounded():
+    """Symptom: after a restore all routers fetch full lists in one second.
 
-    The platform takes 2,000 reads a second of the whole fleet: 10 for each of
-    200 routers in the two seconds in which its news must be in force.
+    The platform allows the fleet 2,000 reads per second: 10 for each of 200
+    routers in the two seconds within which its changes must be in force.
     """
     count, back = 200, Return(10.0, 12.0, False, True, 4.0)
     written = [*first_written(), lost()]
--- a/tests/daemons/test_router_timing.py
+++ b/tests/daemons/test_router_timing.py
@@ -1,4 +1,4 @@
-"""Tests that each path of a change fits in its bound, by the constants."""
+"""Tests that the propagation paths fit in their bounds."""
 
 import math
 from dataclasses import replace
@@ -12,10 +12,10 @@
 from lacewingdock.daemons.router_timing import paths_over_bound
 from lacewingdock.world.host import Bounds
 
-# What deployments are held to: small ones, and those of 50 machines and more.
+# Bounds of small deployments, and of those with 50 machines and more.
 SMALL = Bounds(contact_s=3.0, drain_s=2.0, apply_s=2.0)
 LARGE = Bounds(contact_s=4.0, drain_s=3.0, apply_s=3.0)
-# Below these the paths do not fit, and a router says so.
+# The smallest bounds that the paths fit in; a router warns of smaller ones.
 LEAST = Bounds(
     contact_s=2.8, drain_s=1.9, apply_s=0.5, revoke_s=0.5, rollback_s=2.7
 )
@@ -35,7 +35,7 @@
 
 
 def over(least):
-    """Return a strategy of bounds from one upwards."""
+    """Return a strategy of seconds from the least bound upwards."""
     return st.floats(least, 30.0)
 
 
@@ -76,7 +76,7 @@
         ("cordon_s", 0.6, {"received by a watch"}),
     ],
 )
-def test_bound_that_is_too_short_is_told(field, seconds, broken):
+def test_bound_that_is_too_short_is_reported(field, seconds, broken):
     found = paths_over_bound(replace(Bounds(), **{field: seconds}))
     assert {path.name for path in found} == broken
     for path in found:
@@ -96,10 +96,13 @@
         ("REPORT_BAD_S", 3.0),
     ],
 )
-def test_constant_that_breaks_a_bound_is_seen(monkeypatch, constant, more_s):
-    """Symptom: a change comes into force late, on a path that no test takes.
+def test_constant_that_breaks_a_bound_is_detected(
+    monkeypatch, constant, more_s
+):
+    """Guards against a changed constant that makes a propagation path too slow.
 
-    Cause: a constant that was changed for something else.
+    Symptom: a change is in force late, on a path that no other test covers.
+    Cause: a constant was changed for an unrelated purpose.
     """
     known = getattr(router_timing, constant)
     monkeypatch.setattr(router_timing, constant, known + more_s)
@@ -115,13 +118,13 @@
 
 @given(contact_s=st.floats(2.8, 30.0), renewal_s=st.floats(0.2, 10.0))
 @settings(derandomize=True, deadline=None)
-def test_watch_of_entries_ends_within_an_outage_that_they_do_not_outlive(
+def test_watch_of_entries_ends_within_an_outage_in_which_they_expire(
     contact_s, renewal_s
 ):
     """Symptom: all requests are refused after an outage of three seconds.
 
-    Cause: a watch that lasted as long as the outage hid it, and entries that
-    had run out counted as instances that left.
+    Cause: a watch lasted as long as the outage and hid it, so entries that had
+    expired counted as instances that left.
     """
     bounds = Bounds(contact_s=contact_s, renewal_s=renewal_s)
     waits_s = router_timing.entries_watch_s(bounds)
@@ -135,7 +138,7 @@
     ("drain_ms", "said"),
     [(2000, "no faults"), (1700, "bound too short: drain")],
 )
-def test_check_tells_of_a_bound_that_is_too_short(
+def test_check_reports_a_bound_that_is_too_short(
     tmp_path, capsys, drain_ms, said
 ):
     path = tmp_path / "boot.toml"
