--- a/lacewingdock/daemons/load_sidecar.py
+++ b/lacewingdock/daemons/load_sidecar.py
@@ -1,8 +1,8 @@
-"""Support for a sidecar that knows nothing but its engine's load.
+"""A sidecar that only reports the load of its engine to routers.
 
-On a platform whose upstreams take calls directly no sidecar stands in the way
-of a request, so this one has one component of the sidecar's. It holds nothing
-that must last, and nothing waits for it.
+On a platform whose upstreams accept calls directly, requests do not pass
+through a sidecar, so this one runs a single component. It stores nothing that
+must survive a restart, and no request depends on it.
 """
 
 import os
@@ -32,7 +32,7 @@
 from lacewingdock.platform.profile import parse_sidecar_profile, read_text
 from lacewingdock.world.host import SidecarProfile
 
-# The variable that holds the path of the settings file.
+# Environment variable with the path of the settings file.
 CONFIG_VARIABLE: Final = "LACEWINGDOCK_CONFIG"
 
 log = get_logger("sidecar")
@@ -42,29 +42,29 @@
     """One sidecar process.
 
     Attributes:
-        profile: What the platform says of this instance.
-        gauge: What is known of the engine.
+        profile: Settings of this instance, as the platform writes them.
+        gauge: The latest load of the engine.
         reader: Reads the engine's report.
-        routers: Who may ask.
-        port: Where they do.
-        path: Where the settings file lies.
-        asked: Set when an operator asks for it to be read.
-        stopping: Set when the process shall end.
+        routers: Addresses of the routers that may send load probes.
+        port: UDP port that answers load probes.
+        path: Path of the settings file.
+        reload_requested: Set when an operator requests a reload (SIGHUP).
+        stopping: Set when the process must stop.
     """
 
     __slots__ = (
-        "asked",
         "gauge",
         "path",
         "port",
         "profile",
         "reader",
+        "reload_requested",
         "routers",
         "stopping",
     )
 
     def __init__(self, profile: SidecarProfile, path: str) -> None:
-        """Bind the port.
+        """Bind the port for load probes.
 
         Raises:
             LacewingdockError: PORT_TAKEN or BAD_SETTING.
@@ -77,15 +77,20 @@
             (profile.address, profile.port), self.gauge, self.routers.is_router
         )
         self.path = path
-        self.asked = threading.Event()
+        self.reload_requested = threading.Event()
         self.stopping = threading.Event()
 
     def run(self) -> None:
         """Serve until SIGTERM or SIGINT."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.stopping.set())
-        signal.signal(signal.SIGHUP, lambda *_: self.asked.set())
-        tasks = (self.port.listen, self._read, self._know, self._settings)
+        signal.signal(signal.SIGHUP, lambda *_: self.reload_requested.set())
+        tasks = (
+            self.port.listen,
+            self._poll_engine,
+            self._refresh_routers,
+            self._reload_settings,
+        )
         for task in tasks:
             threading.Thread(
                 target=task, args=(self.stopping,), daemon=True
@@ -93,10 +98,10 @@
         host, port = self.profile.engine
         log.info("started", engine=f"{host}:{port}", port=self.profile.port)
         while not self.stopping.wait(LOG_INTERVAL_S):
-            self._tell("so far")
-        self._tell("stopped")
+            self._log_counters("probe counters")
+        self._log_counters("stopped")
 
-    def _tell(self, message: str) -> None:
+    def _log_counters(self, message: str) -> None:
         log.info(
             message,
             answered=self.port.datagrams.sent,
@@ -104,8 +109,8 @@
             refused=self.port.datagrams.refused,
         )
 
-    def _read(self, stopping: threading.Event) -> None:
-        """Read the engine's report, again and again."""
+    def _poll_engine(self, stopping: threading.Event) -> None:
+        """Read the engine's report once per interval until stopped."""
         is_known = True
         while not stopping.wait(READ_INTERVAL_S):
             asked_at = time.monotonic()
@@ -122,40 +127,43 @@
                 log.info("engine back", running=report.running)
             is_known = True
 
-    def _settings(self, stopping: threading.Event) -> None:
-        """Say what a changed settings file asks for, at an operator's word.
+    def _reload_settings(self, stopping: threading.Event) -> None:
+        """Log which changed settings need a restart when a reload is requested.
 
-        What a sidecar takes from it says which engine is its own and where it
-        listens; only a restart changes that.
+        A sidecar's settings name its engine and its listening address, which
+        only a restart changes, so no setting is applied here.
         """
         while not stopping.wait(CHECK_INTERVAL_S):
-            if not self.asked.is_set():
+            if not self.reload_requested.is_set():
                 continue
-            self.asked.clear()
+            self.reload_requested.clear()
             try:
                 found = parse_sidecar_profile(read_text(self.path), self.path)
             except LacewingdockError as error:
                 log.error("settings not read again", error=str(error))
                 continue
-            log.info("settings read again", need_restart=self._changed(found))
+            log.info(
+                "settings read again",
+                need_restart=self._changed_settings(found),
+            )
 
-    def _changed(self, found: SidecarProfile) -> list[str]:
-        """Return the names of the settings that differ."""
+    def _changed_settings(self, found: SidecarProfile) -> list[str]:
+        """Return the names of the settings that differ from those in use."""
         return [
             one.name
             for one in fields(found)
             if getattr(found, one.name) != getattr(self.profile, one.name)
         ]
 
-    def _know(self, stopping: threading.Event) -> None:
-        """Keep the routers known."""
+    def _refresh_routers(self, stopping: threading.Event) -> None:
+        """Refresh the addresses of the routers until stopped."""
         while not stopping.is_set():
             self.routers.refresh()
             stopping.wait(MIN_REFRESH_INTERVAL_S)
 
 
 def main() -> None:
-    """Run a sidecar by the environment's settings file."""
+    """Run a sidecar with the settings file that the environment names."""
     path = os.environ.get(CONFIG_VARIABLE, "")
     stream = LogStream(sys.stdout.fileno())
     try:
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -1,7 +1,7 @@
-"""Support for the router daemon, which calls upstreams by itself.
+"""The router daemon, which calls upstreams directly.
 
-It is what runs on a platform whose upstreams take calls directly: no sidecar
-stands in the way, and what must last is in the platform's store alone.
+It runs on platforms whose upstreams accept calls without a sidecar in between.
+All durable state is in the platform's store.
 """
 
 import os
@@ -42,19 +42,22 @@
 from lacewingdock.const import THREAD_STACK_BYTES
 from lacewingdock.daemons.router_announce import Announcer
 from lacewingdock.daemons.router_mirrors import (
-    Pace,
+    MirrorPacing,
     build_mirrors,
+    build_store_health,
     reports_pause_s,
-    store_health,
 )
 from lacewingdock.daemons.router_ports import (
     build_gossip,
     build_prober,
     build_relay_port,
 )
-from lacewingdock.daemons.router_relay import is_worthwhile
-from lacewingdock.daemons.router_return import on_restore
-from lacewingdock.daemons.router_timing import LAPSED_S, too_slow
+from lacewingdock.daemons.router_relay import relay_reduces_calls
+from lacewingdock.daemons.router_restore import on_restore
+from lacewingdock.daemons.router_timing import (
+    LAPSE_CHECK_INTERVAL_S,
+    paths_over_bound,
+)
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.clock import STEADY
 from lacewingdock.helpers.ids import new_id
@@ -77,29 +80,29 @@
 if TYPE_CHECKING:
     from lacewingdock.components.inspection.state import RouterState
 
-# Without a copy of these no request can be routed.
+# Kinds of which a router needs a copy before it can route requests.
 ESSENTIAL_KINDS: Final = (
     KIND_CONFIGURATION,
     KIND_INSTANCES,
     KIND_SHIFTS,
     KIND_CORDONS,
 )
-# Of the retries that the fleet may make, each router takes its part as if
-# there were at least this many: it may not know all others yet.
+# Each router's share of the fleet's retry budget is computed for at least this
+# many routers, since it may not know all others yet.
 MIN_ROUTERS: Final = 6
-# A stop serves on this long: the balancer asks once a second and turns away
-# after two answers that are not 200. Where it has nobody else to send callers
-# to it goes on sending them here; a stream that began later than about 3 s
-# after the order could not end within the grace time, so from then on nothing
-# new is accepted.
+# Seconds for which a router accepts requests after the signal to stop: the
+# load balancer checks readiness once per second and stops sending after two
+# answers other than 200. If it has no other router it keeps sending; a stream
+# that begins later than about 3 s after the signal could not end within the
+# grace time, so no new requests are accepted from then on.
 LINGER_S: Final = 2.4
-# What a stop leaves of the grace time for ending the process.
+# Seconds of the grace time that are reserved for ending the process.
 GRACE_MARGIN_S: Final = 0.6
-# How often a stop looks whether its last requests have ended.
-DRAIN_POLL_S: Final = 0.05
-# How often idle connections are pruned and the part of the retries is taken
-# anew, which `FleetBudget` counts in seconds.
-HOUSEKEEPING_S: Final = 1.0
+# Seconds between checks whether the last requests have ended during a stop.
+DRAIN_POLL_INTERVAL_S: Final = 0.05
+# Seconds between prunings of idle connections and updates of this router's
+# share of the retry budget; `FleetBudget` counts in seconds, too.
+HOUSEKEEPING_INTERVAL_S: Final = 1.0
 
 log = get_logger("router")
 
@@ -108,29 +111,30 @@
     """One router process.
 
     Attributes:
-        host: What the platform says of this instance.
-        settings: The command line's settings.
-        watch: Takes changes of the settings file.
-        asked: Set when an operator asks for the settings file to be read.
-        stopping: Set when the process shall end.
-        leaving: Set from the order to stop.
-        api: The platform's store.
+        host: Settings of this instance, as the platform writes them.
+        settings: Settings of the command line.
+        watch: Applies changes of the settings file.
+        reload_requested: Set when an operator requests a reload (SIGHUP).
+        stopping: Set when all tasks must stop.
+        leaving: Set when the signal to stop was received; requests drain.
+        api: Client of the platform's store.
         mirrors: Copies of the platform's objects by kind.
         routes: The routing table.
         directory: The upstream instances.
-        cordons: The failure domains that get nothing new.
+        cordons: Applies cordons; a cordoned failure domain gets no new work.
         shifts: Roll-outs.
         suspects: Requests that were lost at instances.
-        routers: The other routers.
-        gateway: What requests share.
-        callers: The callers' port.
-        ready: The balancer's port.
-        copies: The other routers' port.
-        fleet_load: What the other routers have running.
-        gossip: The port on which routers tell each other.
-        relay: The port on which routers pass the store's news on; None where
-            the platform gives no port for it.
-        inspection: The port of metrics and beliefs; None without.
+        routers: The registry of routers.
+        gateway: The state that all requests share.
+        callers: The port for callers.
+        ready: The port for the load balancer's readiness checks.
+        copies: The port from which other routers fetch copies.
+        fleet_load: The load of the other routers at each instance.
+        gossip: The port on which routers exchange their load.
+        relay: The port on which routers relay changes of the store; None if
+            the settings name no port for it.
+        inspection: The port for metrics and the router's state; None without
+            a metrics port.
         started: Monotonic time of the start.
     """
 
@@ -140,19 +144,19 @@
         settings: RouterSettings,
         sock: socket.socket | None = None,
     ) -> None:
-        """Build the daemon; nothing runs before `run`.
+        """Build all components and open the ports; tasks start in `run`.
 
         Args:
             watch: The settings file and the profile in use.
             settings: The command line's settings.
-            sock: The callers' port where it is open already.
+            sock: The callers' port, if it was opened before the start.
         """
         host = watch.host
         self.host = host
         self.watch = watch
         self.settings = settings
         self.started = time.monotonic()
-        self.asked = threading.Event()
+        self.reload_requested = threading.Event()
         self.stopping = threading.Event()
         self.leaving = threading.Event()
         self.random = random.Random(os.urandom(8))
@@ -163,7 +167,7 @@
         address = "{}:{}".format(*host.peer_address)
         entry = RouterEntry(address, incarnation)
         self.routers = Routers(
-            self.api, host.instance, entry, self._first_peers, self.random
+            self.api, host.instance, entry, self._get_first_peers, self.random
         )
         self.shifts = Shifts(
             host,
@@ -174,26 +178,29 @@
         )
         self.routers.tell = self.shifts.own_reports
         self.suspects = PoisonRequests(
-            self.directory, self.routers.publish, self._look_at, self.random
+            self.directory,
+            self.routers.publish,
+            self._check_address,
+            self.random,
         )
         self.routers.on_status = lambda router, status: (
             self.suspects.recover(status.losses)
             if router == host.instance
             else self.suspects.receive(router, status.losses)
         )
-        self.mirrors = self._mirrors()
+        self.mirrors = self._build_mirrors()
         self.api.eras.on_restore.append(
             on_restore(
                 self.health,
                 self.directory,
                 self.routers,
                 self.suspects,
-                self._bounds,
+                self._get_bounds,
             )
         )
         self.shifts.unseen_s = lambda: self.mirrors[KIND_SHIFTS].unseen_s
         self.shifts.store_doubtful = lambda: self.health.doubtful
-        self.gateway = self._gateway()
+        self.gateway = self._build_gateway()
         self.fleet_load = FleetLoad()
         self.gateway.chooser.others = self.fleet_load.at
         self.gossip = build_gossip(
@@ -210,7 +217,7 @@
         )
         self.gateway.chooser.prober = build_prober(host, self.random)
         self.gateway.readiness_events += [
-            one.ready for one in self._essential()
+            one.ready for one in self._essential_mirrors()
         ]
         self.callers = CallersPort(
             self.gateway,
@@ -225,10 +232,10 @@
         self.copies = CopyServer(
             host.peer_address, self.mirrors, self.health, self.shifts.receive
         )
-        self.inspection = self._inspection()
+        self.inspection = self._build_inspection()
 
     def listeners(self) -> list[PortListener]:
-        """Return what accepts connections."""
+        """Return the listeners of all TCP ports."""
         found = [
             self.callers.listener,
             self.ready.listener,
@@ -239,14 +246,14 @@
         return found
 
     def state(self) -> "RouterState":
-        """Return what the router believes now."""
+        """Return the router's current state for inspection."""
         from lacewingdock.daemons.router_state import router_state
 
         return router_state(self)
 
     def missing(self) -> str:
-        """Return what is missing to serve; empty if nothing."""
-        for mirror in self._essential():
+        """Return what the router lacks to serve; empty if nothing."""
+        for mirror in self._essential_mirrors():
             if not mirror.ready.is_set():
                 return f"no copy of {mirror.kind}"
         return "" if self.routes.table else "no configuration"
@@ -255,11 +262,11 @@
         """Serve until SIGTERM or SIGINT, then stop gracefully.
 
         Returns:
-            The number of requests that the stop cut.
+            The number of requests that were cut off by the stop.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.leaving.set())
-        signal.signal(signal.SIGHUP, lambda *_: self.asked.set())
+        signal.signal(signal.SIGHUP, lambda *_: self.reload_requested.set())
         for mirror in self.mirrors.values():
             _start(mirror.kind, mirror.run, self.stopping)
         for listener in self.listeners():
@@ -279,12 +286,19 @@
             self.random,
         )
         _start("announce", announcer.run, self.stopping)
-        _start("shifts", self._every, ROUND_S, self.shifts.round)
+        _start("shifts", self._run_every, ROUND_S, self.shifts.round)
         _start("suspects", self.suspects.run, self.stopping)
-        _start("lapsed", self._every, LAPSED_S, self._drop_lapsed)
-        _start("housekeeping", self._every, HOUSEKEEPING_S, self._keep_house)
+        _start(
+            "lapsed", self._run_every, LAPSE_CHECK_INTERVAL_S, self._drop_lapsed
+        )
+        _start(
+            "housekeeping",
+            self._run_every,
+            HOUSEKEEPING_INTERVAL_S,
+            self._run_housekeeping,
+        )
         log.info("started", profile=self.settings.config)
-        for path in too_slow(self.host.bounds):
+        for path in paths_over_bound(self.host.bounds):
             log.warning(
                 "bound too short",
                 bound=path.bound,
@@ -294,33 +308,33 @@
                 worst_s=round(path.worst_s, 3),
             )
         while not self.leaving.wait(CHECK_INTERVAL_S):
-            asked = self.asked.is_set()
-            self.asked.clear()
+            asked = self.reload_requested.is_set()
+            self.reload_requested.clear()
             self.watch.check(asked=asked)
-        return self._leave()
+        return self._drain()
 
-    def _leave(self) -> int:
+    def _drain(self) -> int:
         log.info("leaving", active=self.callers.active.value)
         start = time.monotonic()
         end = start + self.host.bounds.grace_s - GRACE_MARGIN_S
         time.sleep(min(LINGER_S, self.host.bounds.grace_s / 2))
         self.callers.shut()
         while time.monotonic() < end and self.callers.active.value:
-            time.sleep(DRAIN_POLL_S)
+            time.sleep(DRAIN_POLL_INTERVAL_S)
         left = self.callers.active.value
         self.stopping.set()
         log.info("stopped", requests_left=left)
         return left
 
-    def _essential(self) -> list[Mirror]:
-        """Return the mirrors without whose copies nothing can be routed."""
+    def _essential_mirrors(self) -> list[Mirror]:
+        """Return the mirrors whose copies are needed to route requests."""
         return [
             self.mirrors[kind]
             for kind in ESSENTIAL_KINDS
             if kind in self.mirrors
         ]
 
-    def _inspection(self) -> InspectionPort | None:
+    def _build_inspection(self) -> InspectionPort | None:
         if not self.settings.metrics_port:
             return None
         address = (self.host.address, self.settings.metrics_port)
@@ -328,14 +342,14 @@
             address, self.state, self.gateway.metrics, self.api
         )
 
-    def _gateway(self) -> Gateway:
+    def _build_gateway(self) -> Gateway:
         chooser = Chooser(self.directory, self.host.failure_domain, self.random)
         chooser.pacer = Pacer(
             self.host.instance,
             lambda: self.routers.entries,
             self.mirrors[KIND_ROUTERS].ready.is_set,
             self.routes.limits,
-            self._bounds,
+            self._get_bounds,
             self.started,
         )
         self.shifts.admits = chooser.admits
@@ -351,14 +365,14 @@
         )
 
     def _retry_terms(self) -> RetryTerms:
-        """Return what this router may make of the fleet's retries."""
+        """Return this router's share of the fleet's retry budget."""
         bounds = self.host.bounds
         routers = max(self.routers.count(), MIN_ROUTERS)
         extra = bounds.retry_extra / routers
         return RetryTerms(bounds.retry_ratio, extra, bounds.retry_window_s)
 
-    def _mirrors(self) -> dict[str, Mirror]:
-        self.health = store_health(self._bounds, STEADY)
+    def _build_mirrors(self) -> dict[str, Mirror]:
+        self.health = build_store_health(self._get_bounds, STEADY)
         listeners: dict[str, Listener] = {
             KIND_CONFIGURATION: PerObjectListener(self.routes.apply),
             KIND_INSTANCES: InstanceListener(self.directory),
@@ -377,34 +391,34 @@
             self.health,
             self.routers.pull,
             self.random,
-            Pace(
-                self._bounds,
+            MirrorPacing(
+                self._get_bounds,
                 lambda: bool(self.shifts.running),
-                self._reports_pause,
+                self._reports_pause_s,
             ),
         )
 
-    def _look_at(self, instance: UpstreamInstance) -> AddressCheck:
-        """Ask at an instance's address, naming it, whether it lives."""
+    def _check_address(self, instance: UpstreamInstance) -> AddressCheck:
+        """Check whether this instance still answers at its address."""
         path = self.routes.health_path(instance.entry.service)
         return check_address(instance.entry, path)
 
-    def _bounds(self) -> Bounds:
+    def _get_bounds(self) -> Bounds:
         return self.host.bounds
 
-    def _first_peers(self) -> tuple[str, ...]:
+    def _get_first_peers(self) -> tuple[str, ...]:
         return self.host.first_peers
 
-    def _reports_pause(self) -> float:
+    def _reports_pause_s(self) -> float:
         routers = self.routers.count()
         return reports_pause_s(
             routers,
             self.host.platform_reads_per_s,
             hurried=self.shifts.hurried,
-            followed=is_worthwhile(routers, self.host.bounds),
+            relayed=relay_reduces_calls(routers, self.host.bounds),
         )
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         self.gateway.pool.prune()
         self.gateway.update_retry_terms(self._retry_terms())
 
@@ -414,11 +428,13 @@
             self.directory.drop_lapsed()
             self.cordons.lift_unconfirmed()
 
-    def _every(self, interval_s: float, function: Callable[[], None]) -> None:
-        """Run a function again and again until the daemon stops.
+    def _run_every(
+        self, interval_s: float, function: Callable[[], None]
+    ) -> None:
+        """Run a function periodically until the daemon stops.
 
-        An error in one round is logged and the rounds go on: a task that
-        died unseen would leave its duty undone for good.
+        An error in one round is logged and the next round runs as usual;
+        otherwise an exception would end the task for good, unnoticed.
         """
         while not self.stopping.wait(interval_s):
             try:
@@ -434,13 +450,13 @@
 
     Args:
         settings: The command line's settings.
-        sock: The callers' port where it is open already.
+        sock: The callers' port, if it was opened before the start.
 
     Returns:
-        The number of requests that the stop cut.
+        The number of requests that were cut off by the stop.
 
     Raises:
-        LacewingdockError: It can't start.
+        LacewingdockError: The router can't start.
     """
     threading.stack_size(THREAD_STACK_BYTES)
     text = read_text(settings.config)
@@ -460,13 +476,13 @@
 
 
 def main(sock: socket.socket | None = None) -> None:
-    """Run a router by the environment's settings, without the command line.
+    """Run a router with the environment's settings, without the command line.
 
-    Loading the command line takes processor time in which a restarted router
-    answers nobody.
+    Importing the command line takes processor time during which a restarted
+    router does not answer.
 
     Args:
-        sock: The callers' port where it is open already.
+        sock: The callers' port, if it was opened before the start.
     """
     try:
         left = run_router(load_settings(RouterSettings, {}), sock)
--- a/lacewingdock/daemons/router_state.py
+++ b/lacewingdock/daemons/router_state.py
@@ -1,4 +1,4 @@
-"""Support for telling what a router believes; loaded when it is asked for."""
+"""Collects a router's state for inspection; imported on the first request."""
 
 import threading
 import time
@@ -30,8 +30,8 @@
 from lacewingdock.world.host import HostProfile
 
 
-class Observed(Protocol):
-    """What of a router is told; see `RouterDaemon`."""
+class InspectedRouter(Protocol):
+    """The part of `RouterDaemon` that an inspection reads."""
 
     host: HostProfile
     routes: Routes
@@ -50,11 +50,11 @@
     started: float
 
     def missing(self) -> str:
-        """Return what is missing to serve."""
+        """Return what the router lacks to serve; empty if nothing."""
 
 
-def router_state(router: Observed) -> RouterState:
-    """Return what a router believes now."""
+def router_state(router: InspectedRouter) -> RouterState:
+    """Return a router's current state."""
     host, table, relay = router.host, router.routes.table, router.relay
     prober = router.gateway.chooser.prober
     return RouterState(
--- a/tests/daemons/crash_engines.py
+++ b/tests/daemons/crash_engines.py
@@ -1,4 +1,4 @@
-"""Engines that one request ends, and that come back at their addresses."""
+"""Fake engines that a poison request crashes and that restart in place."""
 
 import contextlib
 import itertools
@@ -16,30 +16,30 @@
     stream_head,
 )
 
-# The body of the request that ends what runs it.
+# Body of the request that crashes the engine that runs it.
 BAD = b"ends what runs it"
-# How long it runs before.
-RUNS_S = 0.06
+# Seconds for which the request runs before the crash.
+CRASH_DELAY_S = 0.06
 SLOTS = 4
-# Events of a harmless answer, and the pause between two.
+# Number of events of a harmless answer, and seconds between two of them.
 EVENTS = 4
 PAUSE_S = 0.03
 
 
 @dataclass(frozen=True)
-class Form:
-    """What the end of an engine looks like from outside.
+class CrashMode:
+    """How the crash of an engine appears to its clients.
 
     Attributes:
-        first: What it answers before: "", "head", "unsure" (a head with a low
-            confidence), "event", or "bare head" (one without a length).
-        soft: Whether connections are closed, else they are reset.
-        port_s: For how long its port stays open.
-        hangs_s: For how long a connection to such a port stays open unread.
-        back_s: After how long its address answers under another id.
-        stale_s: After how long its entry is removed; None for never.
-        error_in: Of so many requests one is answered 500 instead of its end; 0
-            for none.
+        first: Answer before the crash: "", "head", "unsure" (a head with a low
+            confidence), "event", or "bare head" (a head without a length).
+        soft: Whether connections are closed; otherwise they are reset.
+        port_s: Seconds for which the port stays open after the crash.
+        hangs_s: Seconds for which a connection to that port stays open unread.
+        back_s: Seconds until the address answers under another instance id.
+        stale_s: Seconds until the engine's entry is removed; None for never.
+        error_in: One in this many bad requests is answered with status 500
+            instead of a crash; 0 for none.
     """
 
     first: str = ""
@@ -52,14 +52,14 @@
 
 
 @dataclass
-class Life:
-    """One start of an engine.
+class EngineRun:
+    """One run of an engine, from its start to its crash.
 
     Attributes:
-        name: Its id.
-        ended: Set when it ends.
-        open: Its connections.
-        slots: Its free slots.
+        name: Instance id of this run.
+        ended: Set when the engine crashes.
+        open: Open connections.
+        slots: Free slots.
     """
 
     name: str
@@ -71,125 +71,126 @@
 
 
 class Engines:
-    """Engines that crash, and the list of them.
+    """A group of engines that crash and restart.
 
     Attributes:
-        form: What their ends look like.
-        write: Writes an entry, by id and port.
-        remove: Removes one, by id.
+        crash_mode: How the crashes appear to clients.
+        write: Writes an engine's entry, by id and port.
+        remove: Removes an engine's entry, by id.
         ended: (monotonic time, id of the request) of each crash.
-        lives: The present start by port.
-        ids: Numbers of their starts.
-        closed: Set at the end.
+        runs: The current run by port.
+        ids: Counter for the instance ids of the runs.
+        closed: Set when the engines are shut down.
+        errors: Counter of bad requests, to answer some with an error.
     """
 
-    def __init__(self, count, form, write, remove):
-        self.form = form
+    def __init__(self, count, crash_mode, write, remove):
+        self.crash_mode = crash_mode
         self.write = write
         self.remove = remove
         self.ended = []
-        self.lives = {}
+        self.runs = {}
         self.ids = itertools.count(1)
         self.closed = threading.Event()
         self.errors = itertools.count(1)
         for _ in range(count):
             listener = socket.create_server(("127.0.0.1", 0))
             port = listener.getsockname()[1]
-            _start(self._live, listener, port)
+            _start(self._run_engine, listener, port)
 
     def close(self):
         self.closed.set()
 
     def end(self, count):
-        """End some engines at once, as a loss of power of their hosts does."""
-        alive = [one for one in self.lives.values() if not one.ended.is_set()]
-        for life in alive[:count]:
-            self._end(life)
+        """Crash some engines at once, like a power failure of their hosts."""
+        alive = [one for one in self.runs.values() if not one.ended.is_set()]
+        for run in alive[:count]:
+            self._end(run)
 
     def reset(self):
-        """Reset the connections of all, which live on."""
-        for life in self.lives.values():
-            for sock in list(life.open):
+        """Reset the connections of all engines, which keep running."""
+        for run in self.runs.values():
+            for sock in list(run.open):
                 _reset(sock)
 
-    def _live(self, listener, port):
-        """Live again and again at one address."""
+    def _run_engine(self, listener, port):
+        """Run an engine at one address and restart it after each crash."""
         while not self.closed.is_set():
-            life = Life(f"i-{next(self.ids)}")
-            self.lives[port] = life
-            self.write(life.name, port)
-            self._accept(life, listener)
+            run = EngineRun(f"i-{next(self.ids)}")
+            self.runs[port] = run
+            self.write(run.name, port)
+            self._accept(run, listener)
             listener.close()
-            if self.form.stale_s is not None:
-                _later(self.form.stale_s, self.remove, life.name)
-            if self.closed.wait(self.form.back_s):
+            if self.crash_mode.stale_s is not None:
+                _later(self.crash_mode.stale_s, self.remove, run.name)
+            if self.closed.wait(self.crash_mode.back_s):
                 return
             listener = _listen(port)
 
-    def _accept(self, life, listener):
+    def _accept(self, run, listener):
         listener.settimeout(0.02)
         until = None
         while not self.closed.is_set():
-            if until is None and life.ended.is_set():
-                until = time.monotonic() + self.form.port_s
+            if until is None and run.ended.is_set():
+                until = time.monotonic() + self.crash_mode.port_s
             if until is not None and time.monotonic() >= until:
                 return
             try:
                 sock, _ = listener.accept()
             except TimeoutError:
                 continue
-            if life.ended.is_set():
-                _later(self.form.hangs_s, _reset, sock)
+            if run.ended.is_set():
+                _later(self.crash_mode.hangs_s, _reset, sock)
             else:
-                life.open.add(sock)
-                _start(self._serve, life, sock)
+                run.open.add(sock)
+                _start(self._serve, run, sock)
 
-    def _serve(self, life, sock):
+    def _serve(self, run, sock):
         with contextlib.suppress(OSError), sock:
             while (found := read_request(sock)) is not None:
                 _, headers, body = found
-                if life.ended.is_set():
+                if run.ended.is_set():
                     return
-                self._answer(life, sock, headers, body)
+                self._answer(run, sock, headers, body)
 
-    def _answer(self, life, sock, headers, body):
+    def _answer(self, run, sock, headers, body):
         call_id = headers.get(b"attempt-id", b"")
-        named = headers.get(b"expect-instance", life.name.encode())
-        own_id = b"Instance-Id: " + life.name.encode() + b"\r\n"
-        if named != life.name.encode():
-            extra = b"Not-Executed: 1\r\n" + own_id
+        named = headers.get(b"expect-instance", run.name.encode())
+        instance_header = b"Instance-Id: " + run.name.encode() + b"\r\n"
+        if named != run.name.encode():
+            extra = b"Not-Executed: 1\r\n" + instance_header
             status = b"421 Misdirected"
             sock.sendall(ok(call_id, b"another", extra, status))
             return
         if not call_id:
-            sock.sendall(ok(b"", b"well", own_id))
+            sock.sendall(ok(b"", b"well", instance_header))
             return
-        with life.slots:
-            if life.ended.is_set():
+        with run.slots:
+            if run.ended.is_set():
                 return
             if body != BAD:
                 _stream(sock, call_id)
-            elif self.form.error_in and not (
-                next(self.errors) % self.form.error_in
+            elif self.crash_mode.error_in and not (
+                next(self.errors) % self.crash_mode.error_in
             ):
                 sock.sendall(ok(call_id, b"failed", b"", b"500 Error"))
             else:
-                self._crash(life, sock, call_id)
+                self._crash(run, sock, call_id)
 
-    def _crash(self, life, sock, call_id):
-        first = _FIRST[self.form.first](call_id)
+    def _crash(self, run, sock, call_id):
+        first = _FIRST[self.crash_mode.first](call_id)
         if first:
             sock.sendall(first)
-        time.sleep(RUNS_S)
-        if life.ended.is_set():
+        time.sleep(CRASH_DELAY_S)
+        if run.ended.is_set():
             return
         self.ended.append((time.monotonic(), call_id.decode()))
-        self._end(life)
+        self._end(run)
 
-    def _end(self, life):
-        life.ended.set()
-        for one in list(life.open):
-            if self.form.soft or self.form.first == "bare head":
+    def _end(self, run):
+        run.ended.set()
+        for one in list(run.open):
+            if self.crash_mode.soft or self.crash_mode.first == "bare head":
                 with contextlib.suppress(OSError):
                     one.shutdown(socket.SHUT_RDWR)
             else:
@@ -216,7 +217,7 @@
 def _reset(sock):
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
-        # A task that reads from it holds it open until it is woken.
+        # A thread that blocks in a read keeps the socket open until it wakes.
         sock.shutdown(socket.SHUT_RD)
         sock.close()
 
--- a/tests/daemons/crash_site.py
+++ b/tests/daemons/crash_site.py
@@ -1,4 +1,4 @@
-"""Routers as processes before engines that one request ends."""
+"""Router processes whose engines are crashed by a poison request."""
 
 import contextlib
 import threading
@@ -20,27 +20,28 @@
 
 ENGINES = 8
 ROUTERS = 3
-# Pause between two copies of the bad request, and between harmless ones.
+# Seconds between two copies of the bad request, and between harmless requests.
 COPY_EVERY_S = 0.15
 HARMLESS_EVERY_S = 0.05
-# Harmless requests that differ: each comes again after two seconds.
+# Number of different harmless requests: each is repeated after two seconds.
 KINDS = 40
-# A request is held back by all routers so long after its third crash.
+# Seconds after a request's third crash within which all routers hold it back.
 CONTACT_S = 3.0
 CRASHES = 3
 
 
 @dataclass
 class Outcome:
-    """What a play showed.
+    """The results of a scenario.
 
     Attributes:
-        ended: Engines that the bad request ended.
-        late: Of these, by copies that were sent later than the contact time
-            after the third.
-        after: Of these, by copies that were sent after the third.
-        bad: Answers to copies, by status; 0 for none.
-        harmless: Answers to harmless requests, by status; 0 for none whole.
+        ended: Engines that the bad request crashed.
+        late: Crashes by copies that were sent later than the contact time
+            after the third crash.
+        after: Crashes by copies that were sent after the third crash.
+        bad: Answers to the bad request, by status; 0 for no answer.
+        harmless: Answers to harmless requests, by status; 0 for no complete
+            answer.
     """
 
     ended: int = 0
@@ -51,17 +52,17 @@
 
 
 class CrashSite:
-    """A platform, routers, and engines.
+    """A platform, running routers, and engines.
 
     Attributes:
-        routers: The routers, ready.
+        routers: The routers, ready to serve.
         engines: The engines.
-        sent: When each copy was sent, by its id.
-        outcome: What was seen so far.
-        kinds: Harmless requests that differ.
+        sent: Moment at which each copy of the bad request was sent, by its id.
+        outcome: The results so far.
+        kinds: Number of different harmless requests.
     """
 
-    def __init__(self, tmp_path, form, routers=ROUTERS, engines=ENGINES):
+    def __init__(self, tmp_path, crash_mode, routers=ROUTERS, engines=ENGINES):
         port = free_port()
         self.platform = start("standins.platform", f"--port={port}")
         self.url = f"http://127.0.0.1:{port}"
@@ -70,7 +71,7 @@
         self.lock = threading.Lock()
         spec = configuration(3, s="streaming")
         self.api.write("config", "main", spec, 0, "test")
-        self.engines = Engines(engines, form, self._write, self._remove)
+        self.engines = Engines(engines, crash_mode, self._write, self._remove)
         self.routers = [Router(tmp_path, port, "r-0")]
         for number in range(1, routers):
             first = self.routers[0].peer
@@ -84,27 +85,29 @@
                 router.start()
             wait(lambda: all(router.is_ready() for router in self.routers))
         except BaseException:
-            # Nobody else has them yet, and they would run on.
+            # No caller has a reference yet, so the processes would run on.
             self.close()
             raise
 
-    def play(self, seconds):
-        """Send copies, and harmless requests beside them; return what came."""
-        return self._play(lambda: time.sleep(seconds), [self.copy])
+    def run_bad_requests(self, seconds):
+        """Send bad and harmless requests side by side; return the results."""
+        return self._run_callers(
+            lambda: time.sleep(seconds), [self.send_bad_request]
+        )
 
     def disturb(self, times, every_s, action):
-        """Do something again and again beside harmless requests alone."""
+        """Repeat an action while only harmless requests are sent."""
 
         def disturb():
             for _ in range(times):
                 action()
                 time.sleep(every_s)
 
-        return self._play(disturb, [])
+        return self._run_callers(disturb, [])
 
-    def _play(self, meanwhile, others):
+    def _run_callers(self, meanwhile, others):
         stop = threading.Event()
-        rates = {self.harmless: HARMLESS_EVERY_S}
+        rates = {self.send_harmless: HARMLESS_EVERY_S}
         rates |= dict.fromkeys(others, COPY_EVERY_S)
         tasks = [
             threading.Thread(target=self._send, args=(stop, every_s, ask))
@@ -119,7 +122,7 @@
         return self.result()
 
     def result(self):
-        """Return what was seen up to now."""
+        """Return the results up to now."""
         found = self.outcome
         ended = sorted(self.engines.ended)
         found.ended = len(ended)
@@ -138,7 +141,7 @@
         self.platform.wait()
 
     def ask(self, number, call_id, body):
-        """Send a request; return its status, 0 without a whole answer."""
+        """Send a request; return its status, 0 without a complete answer."""
         router = self.routers[number % len(self.routers)]
         fields = {"call_id": call_id, "path": "/s/x", "body": body}
         with (
@@ -148,16 +151,16 @@
             return router.call(sock, **fields)[0]
         return 0
 
-    def copy(self, number):
-        """Send a copy of the bad request."""
+    def send_bad_request(self, number):
+        """Send a copy of the bad request and count its answer."""
         call_id = f"bad-{len(self.sent)}"
         self.sent[call_id] = time.monotonic()
         status = self.ask(number, call_id, BAD)
         with self.lock:
             self.outcome.bad[status] += 1
 
-    def harmless(self, number):
-        """Send a request, of which the same comes again after a while."""
+    def send_harmless(self, number):
+        """Send one of the harmless requests, which repeat in turn."""
         body = b"harmless %d" % (number % self.kinds)
         status = self.ask(number, f"ok-{number}", body)
         with self.lock:
--- a/tests/daemons/test_router_crashing_requests.py
+++ b/tests/daemons/test_router_crashing_requests.py
@@ -1,40 +1,44 @@
-"""Tests of routers before engines that one request ends."""
+"""Tests of routers whose engines are crashed by a poison request."""
 
 import pytest
 
-from tests.daemons.crash_engines import Form
+from tests.daemons.crash_engines import CrashMode
 from tests.daemons.crash_site import CRASHES, CrashSite
 from tests.waiting import wait
 
-# The third engine ends within a second, the rest is beyond the contact time.
-PLAY_S = 8.0
+# Seconds: the third engine crashes within the first, and what remains is longer
+# than the contact time.
+SCENARIO_S = 8.0
 
 
 @pytest.mark.parametrize(
-    "form",
+    "crash_mode",
     [
-        pytest.param(Form(first="event"), id="an event first"),
+        pytest.param(CrashMode(first="event"), id="an event first"),
         pytest.param(
-            Form(first="event", soft=True), id="an event first, closed"
+            CrashMode(first="event", soft=True), id="an event first, closed"
         ),
         pytest.param(
-            Form(first="bare head"), id="a head without a length, closed"
+            CrashMode(first="bare head"), id="a head without a length, closed"
+        ),
+        pytest.param(CrashMode(port_s=0.3), id="an open port"),
+        pytest.param(
+            CrashMode(port_s=1.2, hangs_s=1.0), id="a port that hangs"
         ),
-        pytest.param(Form(port_s=0.3), id="an open port"),
-        pytest.param(Form(port_s=1.2, hangs_s=1.0), id="a port that hangs"),
     ],
 )
-def test_request_that_ended_three_engines_is_held_back(tmp_path, form):
-    """Guards against a crash that leaves no trace, as it isn't a reset alone.
+def test_request_that_ended_three_engines_is_held_back(tmp_path, crash_mode):
+    """Guards against crashes that are not detected, as they are no mere reset.
 
-    Symptom: one request ends engine after engine, and a third of all others
-    are not served. Sequence: the engine begins to answer it and ends, or its
-    port takes connections for a while. Cause: what was answered in part, or
-    closed, did not count as a loss, and an open port counted as life.
+    Symptom: one request crashes engine after engine, and a third of all other
+    requests fail. Sequence: the engine begins to answer and crashes, or its
+    port accepts connections for a while afterwards. Cause: a partial answer or
+    a closed connection did not count as a loss, and an open port counted as a
+    live engine.
     """
-    site = CrashSite(tmp_path, form)
+    site = CrashSite(tmp_path, crash_mode)
     try:
-        found = site.play(PLAY_S)
+        found = site.run_bad_requests(SCENARIO_S)
     finally:
         site.close()
     assert found.ended >= CRASHES
@@ -43,20 +47,20 @@
 
 
 def test_routers_that_are_all_killed_still_hold_it_back(tmp_path):
-    """Guards against what three engines showed being lost with the routers.
+    """Guards against losing the evidence of three crashes with the routers.
 
-    Symptom: a request ends four engines and more beyond the first three.
-    Sequence: it is held back by all routers; all are killed and start again.
-    Cause: what was known was in their memory, and void in the store.
+    Symptom: a request crashes four engines and more beyond the first three.
+    Sequence: all routers hold the request back; all are killed and restarted.
+    Cause: the evidence was in their memory only; that in the store was void.
     """
-    site = CrashSite(tmp_path, Form())
+    site = CrashSite(tmp_path, CrashMode())
     try:
-        before = site.play(3.0).ended
+        before = site.run_bad_requests(3.0).ended
         for router in site.routers:
             router.stop()
             router.start()
         wait(lambda: all(router.is_ready() for router in site.routers))
-        found = site.play(4.0)
+        found = site.run_bad_requests(4.0)
     finally:
         site.close()
     assert before >= CRASHES
@@ -72,8 +76,8 @@
     ],
 )
 def test_harmless_requests_are_not_held_back(tmp_path, times, every_s, action):
-    """Guards against requests that pay for engines that others ended."""
-    site = CrashSite(tmp_path, Form())
+    """Guards against holding back requests for crashes that others caused."""
+    site = CrashSite(tmp_path, CrashMode())
     try:
         found = site.disturb(times, every_s, lambda: action(site.engines))
     finally:
--- a/tests/daemons/test_router_restore.py
+++ b/tests/daemons/test_router_restore.py
@@ -1,4 +1,4 @@
-"""Tests of a router whose platform's store comes back from an older copy."""
+"""Tests of router processes whose store is restored from an older copy."""
 
 import os
 import signal
@@ -13,22 +13,22 @@
 from tests.daemons.router_site import configuration, server
 from tests.waiting import wait
 
-# As the routers' settings have it, and by default.
+# Seconds: the contact time of the routers' settings, and two default bounds.
 CONTACT_S = 1.5
 APPLY_S = 2.0
 DRAIN_S = 2.0
 
 
 def configure(site, version, **routes):
-    """Write a configuration over what is there, as an operator does."""
+    """Overwrite the stored configuration, as an operator does."""
     found = site.api.read("config", "main", "test")
     spec = configuration(version, r="idempotent", **routes)
     written, _ = site.api.write("config", "main", spec, found.revision, "test")
     assert written
 
 
-def have_in_force(site, routers):
-    """Start routers, and have five changes in force that a copy may lack."""
+def apply_changes(site, routers):
+    """Start routers and apply five changes that a restored copy may lack."""
     for router in routers:
         router.start()
     for router in routers:
@@ -39,8 +39,8 @@
         wait(lambda r=router: r.call(path="/lost/x")[0] == 200, APPLY_S)
 
 
-def come_back(site, lost):
-    """Have the store come back from a copy that lacks the last changes."""
+def restore_store(site, lost):
+    """Restore the store from a copy that lacks the last changes."""
     call("POST", f"{site.url}/restore", {"lost": lost})
 
 
@@ -50,17 +50,17 @@
 ):
     """Symptom: a change that was acknowledged is not in force for seconds.
 
-    Sequence: the store comes back from a copy that lacks five changes, some
+    Sequence: the store is restored from a copy that lacks five changes, some
     are written again, and the operator writes the next configuration.
 
-    Cause: its revisions were given out again, and were compared with those
-    of the history that was lost.
+    Cause: the store assigned the same revisions again, and the router compared
+    them with those of the lost history.
     """
     router = site.first
-    have_in_force(site, [router])
-    come_back(site, 5)
+    apply_changes(site, [router])
+    restore_store(site, 5)
     for number in range(rewritten):
-        # Other writers' changes count as well.
+        # Changes of other writers increase the revision, too.
         site.api.write("routers-of-others", f"o-{number}", {}, 0, "test")
     time.sleep(CONTACT_S)
     configure(site, 20, new="idempotent")
@@ -72,14 +72,14 @@
 def test_instance_that_leaves_after_the_stores_return_from_a_copy_gets_nothing(
     site, rewritten
 ):
-    """Symptom: an instance that says that it leaves gets requests for seconds.
+    """Symptom: an instance that announced its stop gets requests for seconds.
 
-    Sequence: the store comes back from a copy that lacks five changes, the
+    Sequence: the store is restored from a copy that lacks five changes, the
     entry of an instance among them; some are written again, and another
-    instance says that it leaves.
+    instance announces that it is leaving.
 
-    Cause: the revision of its word had been given out before, so that the
-    router's watch went on beyond it.
+    Cause: the revision of this announcement had been assigned before, so the
+    router's watch continued beyond it.
     """
     other = Upstream()
     site.api.write("servers", "i-2", server(other.port), 0, "test")
@@ -91,7 +91,7 @@
     lost = server(other.port) | {"version": "lost"}
     site.api.write("servers", "i-3", lost, 0, "test")
     wait(lambda: '"upstream":"i-3"' in router.log.read_text())
-    come_back(site, 5)
+    restore_store(site, 5)
     for number in range(rewritten):
         site.api.write("routers-of-others", f"o-{number}", {}, 0, "test")
     time.sleep(CONTACT_S)
@@ -112,9 +112,9 @@
 
 
 def test_routers_entries_that_the_copy_lacks_are_written_again(site):
-    """Symptom: after the store's return nobody knows a router for minutes.
+    """Symptom: after a restore of the store a router has no entry for minutes.
 
-    Cause: it announced itself again ten minutes later.
+    Cause: it announced itself again only ten minutes later.
     """
     routers = site.first, site.second
     for router in routers:
@@ -122,22 +122,22 @@
     for router in routers:
         wait(router.is_ready)
     wait(lambda: announced(site) == {"r-1", "r-2"})
-    come_back(site, 2)
+    restore_store(site, 2)
     assert announced(site) == set()
     wait(lambda: announced(site) == {"r-1", "r-2"}, CONTACT_S + APPLY_S)
 
 
 def test_router_that_was_frozen_over_the_return_goes_by_the_new_history(site):
-    """Symptom: a router that wakes brings back what the store lost.
+    """Symptom: a router that resumes brings back objects that the store lost.
 
-    Sequence: one router freezes, the store comes back from a copy, the
-    operator writes on, and the router wakes. Cause: it knows higher counts
-    than the others, and would be asked for the newest copy.
+    Sequence: one router freezes, the store is restored from a copy, the
+    operator writes again, and the router resumes. Cause: it holds higher
+    revisions than the others, so its copy would count as the newest.
     """
     routers = site.first, site.second
-    have_in_force(site, routers)
+    apply_changes(site, routers)
     os.kill(site.second.popen.pid, signal.SIGSTOP)
-    come_back(site, 5)
+    restore_store(site, 5)
     time.sleep(CONTACT_S)
     configure(site, 20, new="idempotent")
     wait(lambda: site.first.call(path="/new/x")[0] == 200, APPLY_S)
@@ -149,13 +149,16 @@
 
 
 def test_several_returns_in_a_row_leave_the_last_configuration_in_force(site):
-    """Symptom: a router is deaf since the store came back twice in a second."""
+    """Guards against watches that miss changes after repeated restores.
+
+    Symptom: a router receives no changes after two restores in a second.
+    """
     router = site.first
-    have_in_force(site, [router])
+    apply_changes(site, [router])
     for lost in (2, 3, 1):
-        come_back(site, lost)
+        restore_store(site, lost)
         site.api.write("routers-of-others", f"o-{lost}", {}, 0, "test")
-        # What was in force stays so, whatever the copy shows.
+        # The configuration in force stays, whatever the copy holds.
         assert router.call(path="/lost/x")[0] == 200
         time.sleep(0.3)
     configure(site, 20, new="idempotent")
@@ -166,12 +169,12 @@
 
 
 def test_router_that_starts_in_the_return_serves(site):
-    """Symptom: a router that starts while the store returns is never ready."""
+    """Symptom: a router that starts during restores never becomes ready."""
     site.first.start()
     wait(site.first.is_ready)
     site.second.start()
     for _ in range(3):
-        come_back(site, 1)
+        restore_store(site, 1)
         time.sleep(0.05)
     found = site.api.read("config", "main", "test")
     if found is None:
--- a/tests/daemons/test_router_timing.py
+++ b/tests/daemons/test_router_timing.py
@@ -1,4 +1,4 @@
-"""Tests that each path of a change fits in its bound, by the constants."""
+"""Tests that the propagation paths fit in their bounds."""
 
 import math
 from dataclasses import replace
@@ -9,13 +9,13 @@
 
 from lacewingdock.cli import Commands
 from lacewingdock.daemons import router_timing
-from lacewingdock.daemons.router_timing import too_slow
+from lacewingdock.daemons.router_timing import paths_over_bound
 from lacewingdock.world.host import Bounds
 
-# What deployments are held to: small ones, and those of 50 machines and more.
+# Bounds of small deployments, and of those with 50 machines and more.
 SMALL = Bounds(contact_s=3.0, drain_s=2.0, apply_s=2.0)
 LARGE = Bounds(contact_s=4.0, drain_s=3.0, apply_s=3.0)
-# Below these the paths do not fit, and a router says so.
+# The smallest bounds that the paths fit in; a router warns of smaller ones.
 LEAST = Bounds(
     contact_s=2.8, drain_s=1.9, apply_s=0.5, revoke_s=0.5, rollback_s=2.7
 )
@@ -35,7 +35,7 @@
 
 
 def over(least):
-    """Return a strategy of bounds from one upwards."""
+    """Return a strategy of seconds from the least bound upwards."""
     return st.floats(least, 30.0)
 
 
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("bounds", [SMALL, LARGE, LEAST, Bounds(), CORDONS])
 def test_paths_fit_in_the_bounds(bounds):
-    assert too_slow(bounds) == []
+    assert paths_over_bound(bounds) == []
 
 
 @given(
@@ -58,7 +58,7 @@
 )
 @settings(derandomize=True, deadline=None)
 def test_paths_fit_in_any_bounds_from_the_least_on(**fields):
-    assert too_slow(Bounds(**fields)) == []
+    assert paths_over_bound(Bounds(**fields)) == []
 
 
 @pytest.mark.parametrize(
@@ -68,16 +68,16 @@
         (
             "drain_s",
             1.8,
-            {"heard after others were asked for a missing entry"},
+            {"received after other routers were asked for a missing entry"},
         ),
-        ("apply_s", 0.4, {"heard by a watch"}),
-        ("revoke_s", 0.4, {"heard by a watch"}),
+        ("apply_s", 0.4, {"received by a watch"}),
+        ("revoke_s", 0.4, {"received by a watch"}),
         ("rollback_s", 1.0, {"reports in the store"}),
-        ("cordon_s", 0.6, {"heard by a watch"}),
+        ("cordon_s", 0.6, {"received by a watch"}),
     ],
 )
-def test_bound_that_is_too_short_is_told(field, seconds, broken):
-    found = too_slow(replace(Bounds(), **{field: seconds}))
+def test_bound_that_is_too_short_is_reported(field, seconds, broken):
+    found = paths_over_bound(replace(Bounds(), **{field: seconds}))
     assert {path.name for path in found} == broken
     for path in found:
         assert path.bound == field.removesuffix("_s")
@@ -96,10 +96,13 @@
         ("REPORT_BAD_S", 3.0),
     ],
 )
-def test_constant_that_breaks_a_bound_is_seen(monkeypatch, constant, more_s):
-    """Symptom: a change comes into force late, on a path that no test takes.
+def test_constant_that_breaks_a_bound_is_detected(
+    monkeypatch, constant, more_s
+):
+    """Guards against a changed constant that makes a propagation path too slow.
 
-    Cause: a constant that was changed for something else.
+    Symptom: a change is in force late, on a path that no other test covers.
+    Cause: a constant was changed for an unrelated purpose.
     """
     known = getattr(router_timing, constant)
     monkeypatch.setattr(router_timing, constant, known + more_s)
@@ -109,19 +112,19 @@
         seconds = getattr(router_timing, source)
         monkeypatch.setattr(router_timing, name, replace(part, seconds=seconds))
     parts = (router_timing._PAUSE, router_timing._ANSWER)
-    monkeypatch.setattr(router_timing, "_HEARD", parts)
-    assert too_slow(SMALL)
+    monkeypatch.setattr(router_timing, "_WATCH_DELAYS", parts)
+    assert paths_over_bound(SMALL)
 
 
 @given(contact_s=st.floats(2.8, 30.0), renewal_s=st.floats(0.2, 10.0))
 @settings(derandomize=True, deadline=None)
-def test_watch_of_entries_ends_within_an_outage_that_they_do_not_outlive(
+def test_watch_of_entries_ends_within_an_outage_in_which_they_expire(
     contact_s, renewal_s
 ):
     """Symptom: all requests are refused after an outage of three seconds.
 
-    Cause: a watch that lasted as long as the outage hid it, and entries that
-    had run out counted as instances that left.
+    Cause: a watch lasted as long as the outage and hid it, so entries that had
+    expired counted as instances that left.
     """
     bounds = Bounds(contact_s=contact_s, renewal_s=renewal_s)
     waits_s = router_timing.entries_watch_s(bounds)
@@ -135,7 +138,7 @@
     ("drain_ms", "said"),
     [(2000, "no faults"), (1700, "bound too short: drain")],
 )
-def test_check_tells_of_a_bound_that_is_too_short(
+def test_check_reports_a_bound_that_is_too_short(
     tmp_path, capsys, drain_ms, said
 ):
     path = tmp_path / "boot.toml"
