--- a/tests/daemons/observed_router.py
+++ b/tests/daemons/observed_router.py
@@ -74,7 +74,7 @@
             self.directory.apply_held()
             if not self.health.doubtful:
                 self.directory.drop_lapsed()
-                self.cordons.settle()
+                self.cordons.lift_unconfirmed()
 
     def _sample(self):
         while True:
