--- a/tests/components/claims/fakes.py
+++ b/tests/components/claims/fakes.py
@@ -58,9 +58,9 @@
         self.writes: Counter[str] = Counter()
         self.living: set[str] = set()
 
-    def _call(self, method, path, purpose, body=None, also=(), **_):
+    def _call(self, method, path, purpose, body=None, accepted=(), **_):
         status, answer = self._answer(method, path, purpose, body)
-        if status not in (HTTPStatus.OK, *also):
+        if status not in (HTTPStatus.OK, *accepted):
             raise _unavailable(f"status {status}")
         return Reply(status, msgspec.json.encode(answer))
 
