--- a/lacewingdock/components/runs/__init__.py
+++ b/lacewingdock/components/runs/__init__.py
@@ -18,7 +18,7 @@
     fingerprint_of,
 )
 from lacewingdock.components.quarantine.crash_watch import CrashWatch
-from lacewingdock.components.runs.shelf import Shelf
+from lacewingdock.components.runs.run_store import Shelf
 from lacewingdock.components.runs.upstream_call import call_upstream
 from lacewingdock.components.runs.upstream_status import probe_upstream
 from lacewingdock.const import RAN_NO, RAN_UNKNOWN
