--- a/lacewingdock/components/engine/__init__.py
+++ b/lacewingdock/components/engine/__init__.py
@@ -6,7 +6,7 @@
 import pycurl
 
 from lacewingdock.components.runs import Runs
-from lacewingdock.components.runs.upstream_status import ask_upstream
+from lacewingdock.components.runs.upstream_status import fetch_engine_report
 from lacewingdock.core import Daemon
 from lacewingdock.helpers.log import get_logger
 
@@ -41,7 +41,7 @@
     def poll(self) -> None:
         """Ask once; an upstream that doesn't answer serves nothing."""
         try:
-            report = ask_upstream(self.url)
+            report = fetch_engine_report(self.url)
         except (pycurl.error, msgspec.DecodeError) as error:
             self.failures += 1
             if self.failures == FAILURES_UNTIL_DOWN:
@@ -71,7 +71,7 @@
         self.runs.set_targets([t for t in self.runs.targets if t != version])
         return sum(
             run.outcome is None and run.attempt.target == version
-            for run in self.runs.shelf.runs()
+            for run in self.runs.run_store.runs()
         )
 
     def revive(self, version: str) -> None:
--- a/lacewingdock/components/runs/__init__.py
+++ b/lacewingdock/components/runs/__init__.py
@@ -18,7 +18,7 @@
     fingerprint_of,
 )
 from lacewingdock.components.quarantine.crash_watch import CrashWatch
-from lacewingdock.components.runs.run_store import Shelf
+from lacewingdock.components.runs.run_store import RunStore
 from lacewingdock.components.runs.upstream_call import call_upstream
 from lacewingdock.components.runs.upstream_status import probe_upstream
 from lacewingdock.const import RAN_NO, RAN_UNKNOWN
@@ -84,8 +84,8 @@
         "on_end",
         "peers",
         "quarantine",
+        "run_store",
         "settings",
-        "shelf",
         "slots",
         "targets",
     )
@@ -120,7 +120,9 @@
             registry=daemon.metrics,
         )
         self.slots = Slots(settings.capacity, settings.queue)
-        self.shelf = Shelf(settings.replay_bytes, settings.resume_s, ORPHAN_S)
+        self.run_store = RunStore(
+            settings.replay_bytes, settings.resume_s, ORPHAN_S
+        )
         self.targets: list[str] = [settings.service] if settings.service else []
         self.on_end: Callable[[Run, float], None] = lambda *_: None
         peers.handle(Attempt, self._on_attempt)
@@ -132,7 +134,7 @@
 
     def start(self) -> None:
         """Start clearing away old answers."""
-        self.daemon.every(SWEEP_S, self.shelf.sweep)
+        self.daemon.every(SWEEP_S, self.run_store.sweep)
 
     def status(self) -> Status:
         """What entries are told."""
@@ -164,7 +166,7 @@
 
     def active(self) -> int:
         """Count the runs that have not ended or been fetched."""
-        return self.shelf.active()
+        return self.run_store.active()
 
     def _beat(self) -> Beat:
         return Beat(
@@ -178,10 +180,10 @@
         """
         run = Run(attempt)
         run.before_end = self.billing.on_end
-        match self.shelf.put(run):
+        match self.run_store.put(run):
             case None:
                 run.attach(link, attempt.attempt, 0)
-                run.refuse(_never_came(attempt.attempt))
+                run.refuse(_never_received_error(attempt.attempt))
             case first if first is run:
                 run.attach(link, attempt.attempt, 0)
                 late_s = link.delay.estimate_s(attempt.sent_ms)
@@ -189,7 +191,9 @@
             case first:
                 # The frame came twice; the id of another workspace's attempt
                 # must not open its answer.
-                self._send_rest(link, attempt.attempt, attempt.workspace, first)
+                self._send_remainder(
+                    link, attempt.attempt, attempt.workspace, first
+                )
 
     def _serve(self, run: Run, link: Link, late_s: float) -> None:
         """Take one attempt through the gate and run it.
@@ -204,7 +208,7 @@
             self._admit(run, link, late_s)
         except LacewingdockError as error:
             run.refuse(
-                self._checked_ran(run, error), self.configuration.revision
+                self._restrict_not_run(run, error), self.configuration.revision
             )
         except Exception as error:
             log.exception("run failed", request_id=run.attempt.request)
@@ -214,7 +218,7 @@
                 self.claims.finish(run)
             self.on_end(run, started)
 
-    def _checked_ran(
+    def _restrict_not_run(
         self, run: Run, error: LacewingdockError
     ) -> LacewingdockError:
         """Say "not run" of a key only where its home vouches for it.
@@ -239,22 +243,22 @@
         attempt = run.attempt
         run.deadline -= late_s
         if late_s > LAPSE_S and attempt.repeatable:
-            raise self._not_begun(run, f"it came {late_s:.1f} s late")
-        self.gate(attempt, link)
+            raise self._not_begun_error(run, f"it came {late_s:.1f} s late")
+        self.check_attempt(attempt, link)
         self.billing.check_room()
         if attempt.repeatable or self.claims is None:
             self._execute(run)
             return
         match self.claims.admit(run):
             case Duplicate(first):
-                self._follow(run, first)
+                self._share_result(run, first)
             case Recorded(finish, body):
                 run.add(body)
                 run.end(finish)
             case None:
                 self._execute(run)
 
-    def gate(self, attempt: Attempt, link: Link) -> None:
+    def check_attempt(self, attempt: Attempt, link: Link) -> None:
         """Check an attempt, on no older configuration than its entry's.
 
         The entry may have decided at a later revision, at which the request
@@ -299,7 +303,7 @@
                 ErrorKind.VERSION_WITHDRAWN, f"{attempt.target} is withdrawn"
             )
 
-    def _not_begun(self, run: Run, reason: str) -> LacewingdockError:
+    def _not_begun_error(self, run: Run, reason: str) -> LacewingdockError:
         """Return the refusal of an attempt that its entry gave up."""
         self.not_begun.inc()
         log.info(
@@ -339,7 +343,7 @@
                 ErrorKind.DEADLINE, "nobody waits any more", RAN_NO
             )
         if run.is_abandoned():
-            raise self._not_begun(run, "its entry has turned elsewhere")
+            raise self._not_begun_error(run, "its entry has turned elsewhere")
         if suspect != alone:
             return False
         self.quarantine.check_endangered(fingerprint, self.settings.instance)
@@ -358,22 +362,22 @@
             self.quarantine.excuse(fingerprint)
         return True
 
-    def _follow(self, run: Run, first: Run) -> None:
+    def _share_result(self, run: Run, first: Run) -> None:
         """Give a repeated request the answer of the run it repeats."""
-        self.shelf.alias(run.attempt.attempt, first)
+        self.run_store.alias(run.attempt.attempt, first)
         run.transfer_subscribers(first)
 
     def _on_resume(self, link: Link, resume: Resume) -> None:
-        run = self.shelf.get(resume.original)
+        run = self.run_store.get(resume.original)
         if run is None:
-            error = self._judge_unknown(resume)
+            error = self._unknown_attempt_error(resume)
             link.send(build_refusal(resume.attempt, error))
             return
-        self._send_rest(
+        self._send_remainder(
             link, resume.attempt, resume.workspace, run, resume.offset
         )
 
-    def _judge_unknown(self, resume: Resume) -> LacewingdockError:
+    def _unknown_attempt_error(self, resume: Resume) -> LacewingdockError:
         """Say of an attempt that is not here whether it ran.
 
         "Not run" is only true of this very process, and only while it would
@@ -383,17 +387,17 @@
             resume.incarnation == self.daemon.me.incarnation
             and resume.age_ms < self.settings.resume_s * MS_PER_S / 2
         )
-        is_new = is_remembered and self.shelf.fence(resume.original)
+        is_new = is_remembered and self.run_store.fence(resume.original)
         # Of a key only its claim can say that it did not run.
         if is_new and self.claims is None:
-            return _never_came(resume.original)
+            return _never_received_error(resume.original)
         return LacewingdockError(
             ErrorKind.ANSWER_GONE,
             "this sidecar has no such answer",
             RAN_UNKNOWN,
         )
 
-    def _send_rest(
+    def _send_remainder(
         self,
         link: Link,
         attempt: str,
@@ -416,13 +420,13 @@
         # The entry gave its old link up; here that link may look open for long,
         # and would count as somebody who waits.
         run.detach_peer(link)
-        self.shelf.alias(attempt, run)
+        self.run_store.alias(attempt, run)
         self.daemon.spawn(run.attach, link, attempt, offset)
 
     def _on_cancel(self, link: Link, cancel: Cancel) -> None:
-        run = self.shelf.get(cancel.attempt)
+        run = self.run_store.get(cancel.attempt)
         if cancel.settle:
-            self._settle(link, cancel.attempt, run)
+            self._resolve_abandoned(link, cancel.attempt, run)
             return
         # Only whoever gets the answer may give it up, and only while nobody
         # else gets it: a run between two links has no watcher either.
@@ -431,18 +435,22 @@
         attempt = run.attempt
         if cancel.ended:
             run.end_delivered = True
-            self.shelf.release(run)
+            self.run_store.release(run)
         elif cancel.keep or attempt.resumable:
             run.resume_announced = True
         elif attempt.repeatable and not run.subscribers:
             run.caller_left = cancel.left
             run.cancel()
 
-    def _settle(self, link: Link, attempt: str, run: Run | None) -> None:
+    def _resolve_abandoned(
+        self, link: Link, attempt: str, run: Run | None
+    ) -> None:
         """Tell of an attempt that was given up once it can't run any more."""
         if run is None:
-            if self.shelf.fence(attempt):
-                link.send(build_refusal(attempt, _never_came(attempt)))
+            if self.run_store.fence(attempt):
+                link.send(
+                    build_refusal(attempt, _never_received_error(attempt))
+                )
             return
         # The link that the entry gave up may still look open here.
         run.detach_peer(link)
@@ -456,7 +464,7 @@
             run.cancel()
 
     def _on_close(self, link: Link) -> None:
-        for run in self.shelf.runs():
+        for run in self.run_store.runs():
             run.detach(link)
 
     def unload(self) -> None:
@@ -464,16 +472,16 @@
 
         The entries are told, so that their callers need not find out.
         """
-        for run in self.shelf.runs():
+        for run in self.run_store.runs():
             run.cancel()
         end = time.monotonic() + ABORT_S
         while time.monotonic() < end and any(
-            run.outcome is None for run in self.shelf.runs()
+            run.outcome is None for run in self.run_store.runs()
         ):
             time.sleep(ABORT_POLL_S)
 
 
-def _never_came(attempt: str) -> LacewingdockError:
+def _never_received_error(attempt: str) -> LacewingdockError:
     return LacewingdockError(
         ErrorKind.NO_UPSTREAM, f"attempt {attempt} never came", RAN_NO
     )
--- a/lacewingdock/components/runs/run_store.py
+++ b/lacewingdock/components/runs/run_store.py
@@ -7,7 +7,7 @@
 from lacewingdock.world.run import Run
 
 
-class Shelf:
+class RunStore:
     """The runs by attempt id, and the rule by which answers go.
 
     An answer that ended is kept for `resume_s` so that a caller whose entry
@@ -116,7 +116,7 @@
         now = self.clock()
         for run in self.runs():
             if run.outcome is None and not run.subscribers:
-                self._judge_orphan(run, now)
+                self._cancel_if_orphaned(run, now)
         with self._lock:
             self._runs = {
                 key: run
@@ -128,9 +128,9 @@
                 for key, since in self._fences.items()
                 if now - since < self.resume_s
             }
-        self._shrink()
+        self._evict_over_limit()
 
-    def _judge_orphan(self, run: Run, now: float) -> None:
+    def _cancel_if_orphaned(self, run: Run, now: float) -> None:
         """Stop a run that nobody can fetch any more.
 
         Its entry died or was cut off; running on would take a slot from
@@ -155,7 +155,7 @@
         if attempt.repeatable and not attempt.resumable and run.outcome:
             run.evict()
 
-    def _shrink(self) -> None:
+    def _evict_over_limit(self) -> None:
         ended = sorted(
             (r for r in self.runs() if r.outcome is not None),
             key=lambda r: r.idle_since,
--- a/lacewingdock/components/runs/upstream_call.py
+++ b/lacewingdock/components/runs/upstream_call.py
@@ -36,7 +36,7 @@
 HEADER_STREAM_RESUME: Final = "x-stream-resume"
 # Pauses before each try to resume a stream; together well under what a caller
 # takes for a hang.
-RESUME_PAUSES_S: Final = (0.02, 0.2, 0.8)
+RESUME_BACKOFF_S: Final = (0.02, 0.2, 0.8)
 CANCEL_TIMEOUT_S: Final = 1.0
 
 _OK: Final = 200
@@ -157,10 +157,10 @@
             self.done = True
             return
         if b'"usage"' in data:
-            self._count(data)
+            self._record_usage(data)
         self.run.add(data)
 
-    def _count(self, data: bytes) -> None:
+    def _record_usage(self, data: bytes) -> None:
         try:
             usage = decode_json(data, _Event).usage
         except msgspec.DecodeError:
@@ -169,14 +169,16 @@
             self.finish.input_tokens = usage.prompt_tokens
             self.finish.output_tokens = usage.completion_tokens
 
-    def check_whole(self) -> None:
+    def check_complete(self) -> None:
         """Check that a stream came to its end.
 
         Raises:
             LacewingdockError: UPSTREAM_FAILED when it did not.
         """
         if self.is_stream and not self.done:
-            raise UpstreamLost("the stream ended too soon", _ran(self.run))
+            raise UpstreamLost(
+                "the stream ended too soon", _ran_state(self.run)
+            )
 
     def end(self) -> None:
         """End the run's answer as whole."""
@@ -251,11 +253,11 @@
             # Nothing was sent, so the request can't have run.
             run.executed = False
             raise UpstreamLost(str(error.args[1]), RAN_NO) from error
-        raise _failure(error, run) from error
+        raise _build_error(error, run) from error
     finally:
         run.on_cancel = None
         curl.close()
-    receiver.check_whole()
+    receiver.check_complete()
 
 
 def _resume(
@@ -266,7 +268,7 @@
     error: LacewingdockError,
 ) -> None:
     """Go on with a broken stream, or raise why that can't be done."""
-    for pause in RESUME_PAUSES_S:
+    for pause in RESUME_BACKOFF_S:
         if not receiver.resumable or error.kind is ErrorKind.DEADLINE:
             raise error
         if run.cancelled.wait(pause):
@@ -293,16 +295,17 @@
             # Nobody listens beside this sidecar: the engine died, and its
             # streams with it. Trying on would only tell of it later.
             receiver.resumable = False
-        raise _failure(error, run) from error
+        raise _build_error(error, run) from error
     finally:
         run.on_cancel = None
         curl.close()
     if receiver.status != _OK:
         receiver.resumable = False
         raise UpstreamLost(
-            f"the stream can't be resumed: status {receiver.status}", _ran(run)
+            f"the stream can't be resumed: status {receiver.status}",
+            _ran_state(run),
         )
-    receiver.check_whole()
+    receiver.check_complete()
 
 
 def _cancel(url: str, run: Run) -> None:
@@ -347,14 +350,16 @@
     curl.setopt(pycurl.XFERINFOFUNCTION, lambda *_: int(run.cancelled.is_set()))
 
 
-def _ran(run: Run) -> str:
+def _ran_state(run: Run) -> str:
     return RAN_YES if run.chunks else RAN_UNKNOWN
 
 
-def _failure(error: pycurl.error, run: Run) -> LacewingdockError:
+def _build_error(error: pycurl.error, run: Run) -> LacewingdockError:
     code, text = error.args[0], str(error.args[1])
     if code == pycurl.E_OPERATION_TIMEDOUT:
         return LacewingdockError(ErrorKind.DEADLINE, text, RAN_UNKNOWN)
     if run.cancelled.is_set() or code in _OWN_ABORTS:
-        return LacewingdockError(ErrorKind.UPSTREAM_FAILED, text, _ran(run))
-    return UpstreamLost(text, _ran(run))
+        return LacewingdockError(
+            ErrorKind.UPSTREAM_FAILED, text, _ran_state(run)
+        )
+    return UpstreamLost(text, _ran_state(run))
--- a/lacewingdock/components/runs/upstream_status.py
+++ b/lacewingdock/components/runs/upstream_status.py
@@ -31,7 +31,7 @@
     incarnation: str = ""
 
 
-def ask_upstream(url: str) -> EngineReport:
+def fetch_engine_report(url: str) -> EngineReport:
     """Ask an upstream for its state.
 
     Raises:
@@ -56,7 +56,7 @@
     detail = ""
     for _ in range(PROBES):
         try:
-            return ask_upstream(url).incarnation
+            return fetch_engine_report(url).incarnation
         except pycurl.error as error:
             if error.args[0] == pycurl.E_COULDNT_CONNECT:
                 return None
--- a/tests/components/answers/test_events.py
+++ b/tests/components/answers/test_events.py
@@ -27,7 +27,7 @@
             self.pair.upstream, attempt_of("a2", resumable=True)
         )
         self.pair.move(self.pair.links[0])
-        self.run = self.pair.runs.shelf.get("a1")
+        self.run = self.pair.runs.run_store.get("a1")
         self.made: list[bytes] = []
         self.taken: list[bytes] = []
         self.error: LacewingdockError | None = None
--- a/tests/components/answers/test_replay.py
+++ b/tests/components/answers/test_replay.py
@@ -20,7 +20,7 @@
     """Ask, let the attempt arrive, and return the answer and its run."""
     answer = pair.answers.ask(pair.upstream, attempt_of(name, **fields))
     pair.deliver_all()
-    return answer, pair.runs.shelf.get(name)
+    return answer, pair.runs.run_store.get(name)
 
 
 def test_cancel_spares_a_run_between_two_links(pair):
@@ -101,7 +101,7 @@
     pair.peers.deliver(pair.links[0].other, answer.attempt)
     run.end(Finish("a1", 0))
     pair.deliver_all()
-    assert pair.runs.shelf.get("a1") is run
+    assert pair.runs.run_store.get("a1") is run
     assert (answer.take(), answer.take()) == ([b"one"], [])
 
 
@@ -150,7 +150,7 @@
     (refusal,) = near.other.sent
     assert refusal.ran == ran
     pair.peers.deliver(near.other, attempt_of("a1"))
-    assert (pair.runs.shelf.get("a1") is None) == (ran == "no")
+    assert (pair.runs.run_store.get("a1") is None) == (ran == "no")
 
 
 def test_frames_of_a_stranger_are_dropped(pair):
@@ -286,7 +286,7 @@
     _, run = begin(pair, resumable=True)
     run.add(b"x" * 70_000)
     run.end(Finish("a1", 0))
-    pair.runs.shelf.sweep()
+    pair.runs.run_store.sweep()
     pair.upstream.in_flight.add(1)
     answer = pair.answers.resume(pair.upstream, "a1", "retail", 0)
     pair.deliver_all()
@@ -319,4 +319,4 @@
         pair.deliver_all()
     else:
         pair.close(pair.links[0])
-    assert pair.runs.shelf.active() == active
+    assert pair.runs.run_store.active() == active
--- a/tests/components/quarantine/virtual_fleet.py
+++ b/tests/components/quarantine/virtual_fleet.py
@@ -182,10 +182,10 @@
         )
         self.runs.crashes.probe = self.engine.probe
         # Its default was bound before the clock was replaced.
-        self.runs.shelf.clock = fleet.vt.now
+        self.runs.run_store.clock = fleet.vt.now
         self.runs.targets = [TARGET]
         self.daemon.every(0.2, self.peers.pace)
-        self.daemon.every(1.0, self.runs.shelf.sweep)
+        self.daemon.every(1.0, self.runs.run_store.sweep)
         self.daemon.every(1.0, self.poll)
 
     def poll(self):
--- a/tests/components/runs/test_given_up.py
+++ b/tests/components/runs/test_given_up.py
@@ -18,7 +18,7 @@
 
 
 @pytest.fixture
-def begun(monkeypatch):
+def reached_upstream(monkeypatch):
     """Ids of the attempts that reached the upstream."""
     ids = []
     monkeypatch.setattr(
@@ -81,7 +81,7 @@
     ],
 )
 def test_attempt_that_comes_late_is_not_begun(
-    begun, late_s, repeatable, begins
+    reached_upstream, late_s, repeatable, begins
 ):
     """A frame is read seconds after its entry has sent it elsewhere.
 
@@ -96,7 +96,7 @@
     attempt.sent_ms = now_ms - int(late_s * 1000)
     sidecar.take(attempt)
     sidecar.run()
-    assert begun == (["a1"] if begins else [])
+    assert reached_upstream == (["a1"] if begins else [])
     told = [(r.code, r.ran) for r in sidecar.refusals()]
     assert told == ([] if begins else [(ErrorKind.NO_UPSTREAM, RAN_NO)])
 
@@ -136,7 +136,7 @@
     ],
 )
 def test_what_waited_while_its_entry_turned_elsewhere_is_not_begun(
-    begun, lapsed, closed, resumable, repeatable, begins
+    reached_upstream, lapsed, closed, resumable, repeatable, begins
 ):
     """A request waits for a slot while the link to its entry is given up.
 
@@ -150,18 +150,18 @@
     if closed:
         sidecar.pair.close(sidecar.link)
     sidecar.run()
-    assert begun == (["a1"] if begins else [])
+    assert reached_upstream == (["a1"] if begins else [])
 
 
-def test_attempt_that_its_entry_came_back_for_is_begun(begun):
+def test_attempt_that_its_entry_came_back_for_is_begun(reached_upstream):
     sidecar = Sidecar()
     sidecar.take(attempt_of())
     sidecar.pair.close(sidecar.link)
     newer = sidecar.pair.connect().other
-    (run,) = sidecar.pair.runs.shelf.runs()
+    (run,) = sidecar.pair.runs.run_store.runs()
     run.attach(newer, "a2", 0)
     sidecar.run()
-    assert begun == ["a1"]
+    assert reached_upstream == ["a1"]
 
 
 @pytest.mark.parametrize(
@@ -189,7 +189,7 @@
     run = None
     if state != "never came":
         sidecar.take(attempt_of())
-        (run,) = runs.shelf.runs()
+        (run,) = runs.run_store.runs()
         sidecar.pair.close(sidecar.link)
     newer = sidecar.pair.connect().other
     match state:
--- a/tests/components/runs/test_two_gates.py
+++ b/tests/components/runs/test_two_gates.py
@@ -28,7 +28,7 @@
 VERSIONS = ["m-1", "m-2"]
 
 
-def world_of(offered, allowed=VERSIONS):
+def build_world(offered, allowed=VERSIONS):
     """Build a world in which new sessions prefer m-1."""
     return World(
         versions={
@@ -87,7 +87,7 @@
     def ask(self, attempt):
         """Judge an attempt; what passes runs."""
         try:
-            self.runs.gate(attempt, self.runs.configuration)
+            self.runs.check_attempt(attempt, self.runs.configuration)
         except LacewingdockError as error:
             error.revision = self.runs.configuration.revision
             raise
@@ -166,8 +166,8 @@
     Events: the entry plans on one revision; the sidecar judges on another.
     Cause: each relied on the news to come round by itself.
     """
-    old = FakeConfiguration(entry[0], world_of(entry[1]))
-    new = FakeConfiguration(sidecar[0], world_of(sidecar[1]), old)
+    old = FakeConfiguration(entry[0], build_world(entry[1]))
+    new = FakeConfiguration(sidecar[0], build_world(sidecar[1]), old)
     old.source = new
     guard = FakeSidecar(new, old)
     token = Session("w", "m", session) if session else None
@@ -183,8 +183,8 @@
     ("allowed", "ran"), [(["m-2"], "m-2"), ([], ErrorKind.MODEL_NOT_ALLOWED)]
 )
 def test_a_permission_taken_away(allowed, ran):
-    old = FakeConfiguration(1, world_of(VERSIONS))
-    new = FakeConfiguration(2, world_of(VERSIONS, allowed), old)
+    old = FakeConfiguration(1, build_world(VERSIONS))
+    new = FakeConfiguration(2, build_world(VERSIONS, allowed), old)
     old.source = new
     guard = FakeSidecar(new, old)
     try:
@@ -200,8 +200,8 @@
     Symptom: the request is tried for ever, or the refusal is made up.
     Cause: the link fails after the refusal.
     """
-    old = FakeConfiguration(1, world_of(VERSIONS))
-    guard = FakeSidecar(FakeConfiguration(2, world_of(["m-2"])), old)
+    old = FakeConfiguration(1, build_world(VERSIONS))
+    guard = FakeSidecar(FakeConfiguration(2, build_world(["m-2"])), old)
     with pytest.raises(LacewingdockError) as refused:
         ask(old, guard)
     assert refused.value.kind is ErrorKind.VERSION_WITHDRAWN
