--- a/lacewingdock/components/runs/__init__.py
+++ b/lacewingdock/components/runs/__init__.py
@@ -1,4 +1,4 @@
-"""Support for the last gate before an upstream and what runs behind it."""
+"""Support for the sidecar's final checks and for running attempts."""
 
 import time
 from collections.abc import Callable
@@ -39,15 +39,16 @@
 from lacewingdock.world.run import Run
 
 NAME: Final = "runs"
+# Seconds between two removals of expired answers.
 SWEEP_S: Final = 1.0
-# How long a run that may not be resumed by its caller outlives its entry's
-# link: long enough for the entry to come back over a new one.
+# Seconds that a run whose caller may not resume it outlives its entry's link:
+# long enough for the entry to reconnect over a new link.
 ORPHAN_S: Final = 5.0
-# How long aborted runs may take to tell their entries.
+# Seconds that aborted runs have to report their end to their entries.
 ABORT_S: Final = 0.5
 ABORT_POLL_S: Final = 0.01
 
-# The request itself is at fault and would never run, whoever refuses it.
+# The request itself is invalid: it would be refused by every sidecar.
 _REQUEST_FAULTS: Final = frozenset(
     {ErrorKind.BAD_REQUEST, ErrorKind.KEY_REQUIRED, ErrorKind.KEY_REUSED}
 )
@@ -56,22 +57,24 @@
 
 
 class Runs:
-    """What runs on this sidecar's upstream.
+    """Admits, runs and resumes the attempts for this sidecar's upstream.
 
     Attributes:
-        daemon: The daemon.
+        daemon: The sidecar's daemon.
         settings: The sidecar's settings.
-        peers: The links.
+        peers: The links to the entries.
         configuration: The configuration in force.
-        claims: The claims; None beside an engine.
-        quarantine: Which requests crash upstreams.
-        crashes: Notices that the upstream crashed.
-        billing: Gets a bill of each run before its end is told.
-        not_begun: Attempts that came too late to be begun.
-        slots: The upstream's capacity.
-        shelf: The runs and the answers kept.
+        claims: The claims on idempotency keys; None beside an engine.
+        quarantine: State of the requests that crash upstreams.
+        crashes: Detects crashes of the upstream.
+        billing: Receives a bill for each run before its end is reported.
+        not_begun: Counter of the attempts not begun because their entry had
+            given them up.
+        slots: The upstream's capacity, in concurrent runs, and its queue.
+        shelf: The runs and the stored answers, by attempt id.
         targets: Versions that the engine has loaded, or the service.
-        on_end: Called with each run that ended and when it came.
+        on_end: Called with each run that ended and the monotonic time, in
+            seconds, at which serving it started.
     """
 
     __slots__ = (
@@ -100,7 +103,7 @@
         quarantine: Quarantine,
         billing: SidecarBilling,
     ) -> None:
-        """Join the links."""
+        """Initialize the runs and register their message handlers."""
         self.billing = billing
         self.daemon = daemon
         self.settings = settings
@@ -133,11 +136,11 @@
         peers.beat = self._beat
 
     def start(self) -> None:
-        """Start clearing away old answers."""
+        """Start the periodic removal of expired answers."""
         self.daemon.every(SWEEP_S, self.run_store.sweep)
 
     def status(self) -> Status:
-        """What entries are told."""
+        """Build the status message for entries."""
         return Status(
             list(self.targets),
             self.slots.occupied,
@@ -148,11 +151,11 @@
         )
 
     def announce(self) -> None:
-        """Tell every entry now."""
+        """Send the status to every entry at once."""
         self.peers.broadcast(self.status())
 
     def set_targets(self, targets: list[str]) -> None:
-        """Take what the engine has loaded."""
+        """Set the served targets and announce them if they changed."""
         if targets != self.targets:
             self.targets = targets
             self.announce()
@@ -160,12 +163,12 @@
     def _on_crash(
         self, crash: str, isolated: bool, fingerprints: list[str]
     ) -> None:
-        """Tell of a crash, and that nothing is served until the next poll."""
+        """Report a crash and announce no targets until the next poll."""
         self.quarantine.report(crash, isolated, fingerprints)
         self.set_targets([])
 
     def active(self) -> int:
-        """Count the runs that have not ended or been fetched."""
+        """Count the runs not ended, or whose answer may still be fetched."""
         return self.run_store.active()
 
     def _beat(self) -> Beat:
@@ -174,9 +177,9 @@
         )
 
     def _on_attempt(self, link: Link, attempt: Attempt) -> None:
-        """Take an attempt in before the link's next frame is read.
+        """Store an attempt's run before the link's next frame is read.
 
-        A cancel or a resume that follows at once must find it.
+        A cancel or a resume that follows immediately must find the run.
         """
         run = Run(attempt)
         run.before_end = self.billing.on_end
@@ -189,19 +192,19 @@
                 late_s = link.delay.estimate_s(attempt.sent_ms)
                 self.daemon.spawn(self._serve, run, link, late_s)
             case first:
-                # The frame came twice; the id of another workspace's attempt
-                # must not open its answer.
+                # A duplicate frame. The id of another workspace's attempt
+                # must not give access to that attempt's answer.
                 self._send_remainder(
                     link, attempt.attempt, attempt.workspace, first
                 )
 
     def _serve(self, run: Run, link: Link, late_s: float) -> None:
-        """Take one attempt through the gate and run it.
+        """Check, admit and run one attempt.
 
         Args:
             run: The attempt's run.
-            link: Where it came from.
-            late_s: Seconds that it was on its way beyond the usual.
+            link: The link that the attempt was received on.
+            late_s: Seconds of transit beyond the link's usual delay.
         """
         started = time.monotonic()
         try:
@@ -221,11 +224,11 @@
     def _restrict_not_run(
         self, run: Run, error: LacewingdockError
     ) -> LacewingdockError:
-        """Say "not run" of a key only where its home vouches for it.
+        """Return "not run" for a key only if its home confirms it.
 
-        The caller may send a key again after it lost the answer to a run;
-        "not run" from someone who doesn't know of that run would make it
-        book under another key.
+        A caller may send a key again after it lost the answer to a run. A
+        "not run" from a sidecar that has no record of that run would make
+        the caller book again, under another key.
         """
         if (
             error.ran != RAN_NO
@@ -243,7 +246,7 @@
         attempt = run.attempt
         run.deadline -= late_s
         if late_s > LAPSE_S and attempt.repeatable:
-            raise self._not_begun_error(run, f"it came {late_s:.1f} s late")
+            raise self._not_begun_error(run, f"received {late_s:.1f} s late")
         self.check_attempt(attempt, link)
         self.billing.check_room()
         if attempt.repeatable or self.claims is None:
@@ -259,10 +262,13 @@
                 self._execute(run)
 
     def check_attempt(self, attempt: Attempt, link: Link) -> None:
-        """Check an attempt, on no older configuration than its entry's.
+        """Check an attempt against a configuration not older than its entry's.
 
         The entry may have decided at a later revision, at which the request
         is permitted: a version just offered must not be refused.
+
+        Raises:
+            LacewingdockError: The attempt may not run here.
         """
         try:
             self._check(attempt)
@@ -273,7 +279,7 @@
             self._check(attempt)
 
     def _check(self, attempt: Attempt) -> None:
-        """Refuse what may not run here; the entry's view may be older."""
+        """Check that an attempt may run here; its entry may be outdated."""
         if self.daemon.leaving.is_set():
             raise LacewingdockError(ErrorKind.LEAVING, "the sidecar is leaving")
         if not self.configuration.loaded.is_set():
@@ -304,7 +310,7 @@
             )
 
     def _not_begun_error(self, run: Run, reason: str) -> LacewingdockError:
-        """Return the refusal of an attempt that its entry gave up."""
+        """Count, log and build the refusal of an abandoned attempt."""
         self.not_begun.inc()
         log.info(
             "attempt not begun",
@@ -317,7 +323,7 @@
         )
 
     def _execute(self, run: Run) -> None:
-        """Wait for a slot and run; a suspect waits until it can run alone."""
+        """Wait for a slot and run; a suspect request runs in isolation."""
         attempt = run.attempt
         fingerprint = fingerprint_of(attempt)
         done = False
@@ -329,21 +335,21 @@
                 done = self._run(run, fingerprint, alone)
 
     def _run(self, run: Run, fingerprint: str, alone: bool) -> bool:
-        """Check once more and call the upstream.
+        """Repeat the checks after the wait and call the upstream.
 
         Returns:
             False when the request became suspect, or was cleared, while it
-            waited, and so has to wait for another kind of slot.
+            waited, and so has to wait for the other kind of slot.
         """
-        # A withdrawal or a crash may have become known while this one queued.
+        # A withdrawal or a crash may have been reported while the run queued.
         self._check_permitted(run.attempt)
         suspect = self.quarantine.check(fingerprint) is Verdict.SUSPECT
         if run.cancelled.is_set():
             raise LacewingdockError(
-                ErrorKind.DEADLINE, "nobody waits any more", RAN_NO
+                ErrorKind.DEADLINE, "no caller is waiting any more", RAN_NO
             )
         if run.is_abandoned():
-            raise self._not_begun_error(run, "its entry has turned elsewhere")
+            raise self._not_begun_error(run, "its entry has abandoned it")
         if suspect != alone:
             return False
         self.quarantine.check_endangered(fingerprint, self.settings.instance)
@@ -363,7 +369,7 @@
         return True
 
     def _share_result(self, run: Run, first: Run) -> None:
-        """Give a repeated request the answer of the run it repeats."""
+        """Serve a duplicate request from the run that it repeats."""
         self.run_store.alias(run.attempt.attempt, first)
         run.transfer_subscribers(first)
 
@@ -378,17 +384,18 @@
         )
 
     def _unknown_attempt_error(self, resume: Resume) -> LacewingdockError:
-        """Say of an attempt that is not here whether it ran.
+        """Build the error for an attempt without a run on this sidecar.
 
-        "Not run" is only true of this very process, and only while it would
-        still remember; an entry that was frozen comes later than that.
+        "Not run" holds only for this incarnation of the sidecar, and only
+        while a run would still be stored; an entry that was frozen may ask
+        later than that.
         """
         is_remembered = (
             resume.incarnation == self.daemon.me.incarnation
             and resume.age_ms < self.settings.resume_s * MS_PER_S / 2
         )
         is_new = is_remembered and self.run_store.fence(resume.original)
-        # Of a key only its claim can say that it did not run.
+        # For a request with a key, only its claim shows that it did not run.
         if is_new and self.claims is None:
             return _never_received_error(resume.original)
         return LacewingdockError(
@@ -405,7 +412,7 @@
         run: Run,
         offset: int = 0,
     ) -> None:
-        """Give an answer from an offset on, to its own workspace only."""
+        """Send an answer from an offset on, to its own workspace only."""
         if run.attempt.workspace != workspace:
             log.warning(
                 "resume refused", peer=link.peer.instance, workspace=workspace
@@ -417,8 +424,8 @@
             )
             link.send(build_refusal(attempt, error))
             return
-        # The entry gave its old link up; here that link may look open for long,
-        # and would count as somebody who waits.
+        # The entry has abandoned its old link, which may appear open here for
+        # long and would count as a subscriber.
         run.detach_peer(link)
         self.run_store.alias(attempt, run)
         self.daemon.spawn(run.attach, link, attempt, offset)
@@ -428,8 +435,8 @@
         if cancel.settle:
             self._resolve_abandoned(link, cancel.attempt, run)
             return
-        # Only whoever gets the answer may give it up, and only while nobody
-        # else gets it: a run between two links has no watcher either.
+        # Only a subscriber may cancel a run, and only as its last one. A run
+        # whose entry is between two links has no subscriber either.
         if run is None or not run.detach(link, cancel.attempt):
             return
         attempt = run.attempt
@@ -445,18 +452,20 @@
     def _resolve_abandoned(
         self, link: Link, attempt: str, run: Run | None
     ) -> None:
-        """Tell of an attempt that was given up once it can't run any more."""
+        """Report an abandoned attempt once it can no longer run."""
         if run is None:
             if self.run_store.fence(attempt):
                 link.send(
                     build_refusal(attempt, _never_received_error(attempt))
                 )
             return
-        # The link that the entry gave up may still look open here.
+        # The link that the entry abandoned may still appear open here.
         run.detach_peer(link)
         if run.outcome is not None:
             ran = RAN_UNKNOWN if run.executed else RAN_NO
-            error = LacewingdockError(ErrorKind.NO_UPSTREAM, "it ended", ran)
+            error = LacewingdockError(
+                ErrorKind.NO_UPSTREAM, "the attempt has ended", ran
+            )
             link.send(build_refusal(attempt, error))
         elif run.attempt.repeatable and not (
             run.resume_announced or run.subscribers
@@ -468,9 +477,10 @@
             run.detach(link)
 
     def unload(self) -> None:
-        """Abort what still runs; the grace time is over.
+        """Abort the remaining runs when the grace time is over.
 
-        The entries are told, so that their callers need not find out.
+        The entries receive the outcome, so that their callers need not wait
+        for a timeout.
         """
         for run in self.run_store.runs():
             run.cancel()
@@ -483,7 +493,7 @@
 
 def _never_received_error(attempt: str) -> LacewingdockError:
     return LacewingdockError(
-        ErrorKind.NO_UPSTREAM, f"attempt {attempt} never came", RAN_NO
+        ErrorKind.NO_UPSTREAM, f"attempt {attempt} was never received", RAN_NO
     )
 
 
@@ -496,7 +506,7 @@
     quarantine: Quarantine,
     billing: SidecarBilling,
 ) -> Runs:
-    """Set the runs up."""
+    """Create the runs of a sidecar and add them to its daemon."""
     runs = Runs(
         daemon, settings, peers, configuration, claims, quarantine, billing
     )
--- a/lacewingdock/components/runs/run_store.py
+++ b/lacewingdock/components/runs/run_store.py
@@ -1,4 +1,4 @@
-"""Support for keeping answers within bounds of time and memory."""
+"""Support for storing answers within limits of time and memory."""
 
 import threading
 import time
@@ -8,19 +8,19 @@
 
 
 class RunStore:
-    """The runs by attempt id, and the rule by which answers go.
+    """Stores runs by attempt id and evicts their answers.
 
-    An answer that ended is kept for `resume_s` so that a caller whose entry
-    or link died can fetch the rest, unless its entry said that it has all of
-    it. Beyond `limit` bytes the oldest ended ones lose their pieces first; a
-    running one never does.
+    A complete answer is kept for `resume_s` so that a caller whose entry or
+    link died can fetch the rest, unless its entry confirmed that it has the
+    full answer. Beyond `limit` bytes, the chunks of the oldest complete
+    answers are evicted first; those of an active run never are.
 
     Attributes:
-        limit: Bytes of kept answers.
-        resume_s: Seconds that an ended answer is kept.
-        orphan_s: Seconds that a run without a watcher goes on, if its caller
-            can't come back for it.
-        clock: Monotonic time, in seconds.
+        limit: Maximum bytes of complete answers.
+        resume_s: Seconds that a complete answer is kept.
+        orphan_s: Seconds that a run without a subscriber continues if its
+            caller can't resume it.
+        clock: Returns the monotonic time, in seconds.
     """
 
     __slots__ = (
@@ -40,7 +40,7 @@
         orphan_s: float,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Start empty."""
+        """Initialize an empty store with its limits."""
         self.limit = limit
         self.resume_s = resume_s
         self.orphan_s = orphan_s
@@ -50,11 +50,11 @@
         self._lock = threading.Lock()
 
     def put(self, run: Run) -> Run | None:
-        """Take a run in.
+        """Store a run under its attempt id.
 
         Returns:
-            The run itself; the one that has its id already, which a frame
-            that came twice must not replace; or None when the id is fenced.
+            The run itself; the run already stored under the id, which a
+            duplicate frame must not replace; or None when the id is fenced.
         """
         with self._lock:
             attempt = run.attempt.attempt
@@ -63,14 +63,14 @@
             return self._runs.setdefault(attempt, run)
 
     def fence(self, attempt: str) -> bool:
-        """Let an attempt that never came be refused if it still comes.
+        """Fence an attempt never received, so that it is refused later.
 
-        An entry that asks for the answer over a new link is told "not run"
-        and may run the request elsewhere; the attempt itself may still wait
-        in the old link's buffers and would be run after all.
+        An entry that asks for the answer over a new link receives "not run"
+        and may run the request elsewhere. The attempt itself may still be in
+        the old link's buffers, and without the fence it would run as well.
 
         Returns:
-            Whether it never came.
+            True if the attempt was never received and is now fenced.
         """
         with self._lock:
             if attempt in self._runs:
@@ -79,29 +79,29 @@
             return True
 
     def alias(self, attempt: str, run: Run) -> None:
-        """Let another id name a run from now on."""
+        """Store a run under an additional attempt id."""
         with self._lock:
             self._runs[attempt] = run
 
     def get(self, attempt: str) -> Run | None:
-        """Find a run."""
+        """Return the run of an attempt id, or None."""
         return self._runs.get(attempt)
 
     def runs(self) -> list[Run]:
-        """Return every run once."""
+        """Return every run once, whatever its number of ids."""
         with self._lock:
             return list({id(r): r for r in self._runs.values()}.values())
 
     def active(self) -> int:
-        """Count the runs that a planned stop must not cut."""
+        """Count the runs that a planned stop must not cut off."""
         now = self.clock()
         return sum(self._is_active(run, now) for run in self.runs())
 
     def _is_active(self, run: Run, now: float) -> bool:
-        """Tell whether somebody waits for a run or may come back for it.
+        """Return whether a run is awaited or may still be resumed.
 
-        An end that was sent is not yet received: the link may have gone
-        silent. The entry says when it has it; one that died won't.
+        An end that was sent may not have been received, as the link may have
+        gone silent. The entry confirms its receipt, unless the entry died.
         """
         if run.outcome is None:
             return True
@@ -112,7 +112,7 @@
         return now - run.idle_since < wait_s
 
     def sweep(self) -> None:
-        """Cancel orphans, forget old answers, keep within the limit."""
+        """Cancel orphans, expire answers and enforce the byte limit."""
         now = self.clock()
         for run in self.runs():
             if run.outcome is None and not run.subscribers:
@@ -131,10 +131,10 @@
         self._evict_over_limit()
 
     def _cancel_if_orphaned(self, run: Run, now: float) -> None:
-        """Stop a run that nobody can fetch any more.
+        """Cancel a run whose answer can no longer be fetched.
 
-        Its entry died or was cut off; running on would take a slot from
-        requests that somebody waits for.
+        Its entry died or was cut off; continuing would occupy a slot that
+        awaited requests need.
         """
         attempt = run.attempt
         if attempt.resumable or not attempt.repeatable:
@@ -144,14 +144,14 @@
             run.cancel()
 
     def release(self, run: Run) -> None:
-        """Drop the pieces of an answer that its entry has whole.
+        """Evict the chunks of an answer that its entry received in full.
 
-        Its caller can't come back for it. Kept for `resume_s` all the same,
-        the answers of a busy upstream would fill the limit and push out the
-        ones that somebody still needs.
+        Its caller can't resume it. If such answers were kept for `resume_s`,
+        those of a busy upstream would fill the limit and evict answers that
+        are still needed.
         """
         attempt = run.attempt
-        # A call that may not be repeated is asked for again by its key.
+        # The answer to a non-repeatable call is requested again by its key.
         if attempt.repeatable and not attempt.resumable and run.outcome:
             run.evict()
 
--- a/lacewingdock/components/runs/upstream_call.py
+++ b/lacewingdock/components/runs/upstream_call.py
@@ -1,4 +1,4 @@
-"""Support for calling the upstream and taking its answer as it streams."""
+"""Support for calling the upstream and streaming its answer."""
 
 import re
 import socket
@@ -25,24 +25,25 @@
 CONNECT_TIMEOUT_MS: Final = 1000
 MAX_ANSWER_BYTES: Final = 8 * 1024 * 1024
 BODY_PIECE_BYTES: Final = 256 * 1024
-# An event goes in one frame, and a frame beyond the limit ends the link with
-# every answer on it.
+# An event is sent in one frame, and a frame over the size limit closes the
+# link and breaks every answer on it.
 MAX_EVENT_BYTES: Final = 1024 * 1024
 MAX_TOKENS: Final = 2**32 - 1
 
-# An engine that can resume and cancel a stream by its id says so.
+# Path and headers by which a stream is resumed and cancelled by its id. An
+# engine that supports this announces it in the response.
 STREAMS_PATH: Final = "/v1/streams/"
 HEADER_STREAM_ID: Final = "X-Stream-Id"
 HEADER_STREAM_RESUME: Final = "x-stream-resume"
-# Pauses before each try to resume a stream; together well under what a caller
-# takes for a hang.
+# Backoff before each attempt to resume a stream, in seconds; the total is well
+# below the silence that a caller treats as a hang.
 RESUME_BACKOFF_S: Final = (0.02, 0.2, 0.8)
 CANCEL_TIMEOUT_S: Final = 1.0
 
 _OK: Final = 200
 _SERVER_ERROR: Final = 500
 _ABORT: Final = -1
-# Errors that this side brought about by cancelling.
+# Errors that result from a cancellation by this sidecar.
 _OWN_ABORTS: Final = (pycurl.E_WRITE_ERROR, pycurl.E_ABORTED_BY_CALLBACK)
 
 
@@ -63,18 +64,18 @@
 
 
 class Receiver:
-    """Splits what the upstream sends into pieces of the run's answer.
+    """Parses the upstream's response into chunks of the run's answer.
 
     Attributes:
-        run: Where the pieces go.
+        run: The run that receives the chunks.
         is_stream: Whether the answer is an event stream.
-        status: HTTP status of the answer.
-        content_type: Its media type.
-        pending: Bytes of a line or body not handed on yet.
-        done: Whether the stream said that it is complete.
-        received: Bytes received in all.
+        status: HTTP status of the answer; 0 before it is received.
+        content_type: Media type of the answer.
+        pending: Bytes of an incomplete event or body not passed on yet.
+        done: Whether the stream's completion marker was received.
+        received: Total bytes received.
         resumable: Whether the upstream can resume this stream.
-        finish: The end as far as known.
+        finish: The final message, filled in as the answer is received.
     """
 
     __slots__ = (
@@ -89,7 +90,7 @@
     )
 
     def __init__(self, run: Run) -> None:
-        """Start before the first byte."""
+        """Initialize a receiver for the answer of a run."""
         self.run = run
         self.status = 0
         self.content_type = ""
@@ -100,11 +101,11 @@
         self.finish = Finish(run.attempt.attempt, 0)
 
     def header(self, line: bytes) -> None:
-        """Take a header line."""
+        """Process a header line of the response."""
         text = line.decode("latin-1").strip()
         if text.startswith("HTTP/"):
-            # What raised here would be printed by the HTTP library, not
-            # logged; curl has checked the line's form already.
+            # An exception raised here would be printed by the HTTP library,
+            # not logged; curl has already checked the form of the line.
             _, _, rest = text.partition(" ")
             code = rest[:3]
             self.status = int(code) if _STATUS.fullmatch(code) else 0
@@ -118,9 +119,9 @@
                 pass
 
     def restart(self) -> None:
-        """Start another response that goes on where the last one broke.
+        """Prepare for a response that resumes the broken one.
 
-        Half an event is dropped: the upstream sends it again, whole.
+        An incomplete event is dropped: the upstream sends it again in full.
         """
         self.status = 0
         self.pending = b""
@@ -131,7 +132,7 @@
         return self.content_type.startswith(EVENT_STREAM)
 
     def body(self, data: bytes) -> int | None:
-        """Take bytes of the body; returns -1 to abort."""
+        """Process bytes of the body; returns -1 to abort the transfer."""
         self.received += len(data)
         if self.run.cancelled.is_set() or self.received > MAX_ANSWER_BYTES:
             return _ABORT
@@ -170,18 +171,19 @@
             self.finish.output_tokens = usage.completion_tokens
 
     def check_complete(self) -> None:
-        """Check that a stream came to its end.
+        """Check that a stream is complete.
 
         Raises:
-            LacewingdockError: UPSTREAM_FAILED when it did not.
+            LacewingdockError: UPSTREAM_FAILED when the stream ended early.
         """
         if self.is_stream and not self.done:
             raise UpstreamLost(
-                "the stream ended too soon", _ran_state(self.run)
+                "the stream ended before its completion marker",
+                _ran_state(self.run),
             )
 
     def end(self) -> None:
-        """End the run's answer as whole."""
+        """Finish the run's answer as complete."""
         if self.pending and not self.is_stream:
             self.run.add(self.pending)
         self.finish.status = self.status
@@ -190,21 +192,23 @@
 
 
 def call_upstream(url: str, run: Run, deadline: float, is_engine: bool) -> None:
-    """Send a run's request to the upstream and take the answer.
+    """Send a run's request to the upstream and receive the answer.
 
-    A stream that breaks is resumed at its offset where the upstream can do
-    that. Where it can't, the answer ends with an error: sent again, the
-    request would give another answer than the part already shown.
+    A broken stream is resumed at its offset if the upstream supports that.
+    Otherwise the answer ends with an error: repeating the request would
+    produce an answer that differs from the part already delivered.
 
     Args:
         url: URL of the upstream instance.
-        run: The run; its answer is ended here.
-        deadline: Monotonic time by which the answer must be whole.
-        is_engine: Whether the upstream is a model engine, which takes
-            orders about its streams.
+        run: The run, whose answer is finished here.
+        deadline: Monotonic time, in seconds, by which the answer must be
+            complete.
+        is_engine: Whether the upstream is a model engine, which accepts
+            requests to cancel its streams.
 
     Raises:
-        LacewingdockError: The upstream failed; `ran` says what is known.
+        LacewingdockError: The upstream failed; `ran` states whether the
+            request ran, as far as known.
     """
     if deadline <= time.monotonic():
         raise LacewingdockError(
@@ -267,7 +271,7 @@
     deadline: float,
     error: LacewingdockError,
 ) -> None:
-    """Go on with a broken stream, or raise why that can't be done."""
+    """Resume a broken stream, or raise the error that prevents it."""
     for pause in RESUME_BACKOFF_S:
         if not receiver.resumable or error.kind is ErrorKind.DEADLINE:
             raise error
@@ -292,8 +296,8 @@
         curl.perform()
     except pycurl.error as error:
         if error.args[0] == pycurl.E_COULDNT_CONNECT:
-            # Nobody listens beside this sidecar: the engine died, and its
-            # streams with it. Trying on would only tell of it later.
+            # The engine's port is closed: the engine died and lost its
+            # streams. Further retries would only delay the error.
             receiver.resumable = False
         raise _build_error(error, run) from error
     finally:
@@ -309,17 +313,17 @@
 
 
 def _cancel(url: str, run: Run) -> None:
-    """Tell the engine to stop a stream that it would keep for a resume.
+    """Cancel a stream that the engine would keep for a resume.
 
-    Without it the engine goes on generating for nobody, in a slot that this
-    sidecar takes for free.
+    Otherwise the engine continues to generate without a reader, in a slot
+    that this sidecar counts as free.
     """
     stream = url + STREAMS_PATH + run.attempt.attempt
     try:
         send(stream, method="DELETE", timeout_s=CANCEL_TIMEOUT_S)
     except pycurl.error as error:
         log.info(
-            "cancel not heard",
+            "stream cancel not delivered",
             attempt_id=run.attempt.attempt,
             error=str(error),
         )
@@ -339,8 +343,9 @@
     curl.setopt(pycurl.WRITEFUNCTION, receiver.body)
 
     def open_socket(_purpose: int, address: Any) -> socket.socket:
-        # The library asks for a cancel once a second while no byte comes; a
-        # shutdown of its socket wakes it at once, and the slot is free.
+        # While no data arrives, the library checks for a cancellation only
+        # once a second; a shutdown of its socket wakes it at once, which
+        # frees the slot.
         sock = socket.socket(address.family, address.socktype, address.protocol)
         run.set_cancel_hook(lambda: sock.shutdown(socket.SHUT_RDWR))
         return sock
--- a/lacewingdock/components/runs/upstream_status.py
+++ b/lacewingdock/components/runs/upstream_status.py
@@ -1,4 +1,4 @@
-"""Support for asking the upstream for its state."""
+"""Support for querying the status of the upstream."""
 
 import time
 from typing import Final
@@ -17,13 +17,13 @@
 
 
 class EngineReport(msgspec.Struct):
-    """What a model engine says of itself.
+    """Status that a model engine reports.
 
     Attributes:
         versions: Versions loaded.
-        leaving: Whether it takes no new work.
+        leaving: Whether the engine is draining and accepts no new work.
         incarnation: Unique to each start of the process; empty when the
-            upstream does not tell.
+            upstream does not report it.
     """
 
     versions: list[str] = msgspec.field(default_factory=list)
@@ -32,11 +32,11 @@
 
 
 def fetch_engine_report(url: str) -> EngineReport:
-    """Ask an upstream for its state.
+    """Fetch the status report of an upstream.
 
     Raises:
-        pycurl.error: It does not answer.
-        msgspec.DecodeError: The answer is not understood.
+        pycurl.error: The upstream does not answer.
+        msgspec.DecodeError: The answer is not a valid report.
     """
     reply = send(f"{url}/status", timeout_s=TIMEOUT_S, fail_on_error=True)
     report: EngineReport = decode_json(reply.body, EngineReport)
@@ -44,14 +44,14 @@
 
 
 def probe_upstream(url: str) -> str | None:
-    """Return an upstream's incarnation, or None when nothing listens.
+    """Return an upstream's incarnation, or None when its port is closed.
 
-    A process that is just ending may take a connection and drop it, so a
-    dropped one is tried again.
+    A process that is just ending may accept a connection and drop it, so a
+    dropped connection is retried.
 
     Raises:
-        LacewingdockError: UPSTREAM_FAILED, not run, when it can't be told:
-            what hangs has not crashed.
+        LacewingdockError: UPSTREAM_FAILED, not run, when the state can't be
+            determined: an upstream that hangs has not crashed.
     """
     detail = ""
     for _ in range(PROBES):
