--- a/tests/components/runs/__init__.py
+++ b/tests/components/runs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the runs."""
+"""Tests for running attempts on a sidecar."""
--- a/tests/components/runs/test_given_up.py
+++ b/tests/components/runs/test_given_up.py
@@ -1,4 +1,4 @@
-"""Tests for attempts that their entry has given up, over links in memory."""
+"""Tests for attempts abandoned by their entry, over in-memory links."""
 
 import contextlib
 import threading
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def reached_upstream(monkeypatch):
-    """Ids of the attempts that reached the upstream."""
+    """Collect the ids of the attempts that reached the upstream."""
     ids = []
     monkeypatch.setattr(
         runs_module,
@@ -30,7 +30,7 @@
 
 
 class Sidecar:
-    """A sidecar whose tasks wait until the test lets them run."""
+    """A sidecar whose tasks are queued until the test runs them."""
 
     def __init__(self):
         self.pair = Pair()
@@ -54,18 +54,18 @@
         self.link = self.pair.links[0].other
 
     def take(self, attempt):
-        """Read an attempt's frame."""
+        """Deliver an attempt as read from the link."""
         self.link.delay.record_stamp(attempt.sent_ms)
         self.pair.peers.deliver(self.link, attempt)
 
     def run(self):
-        """Let what waits go on."""
+        """Run the queued tasks."""
         tasks, self.tasks = self.tasks, []
         for function, *arguments in tasks:
             function(*arguments)
 
     def refusals(self):
-        """Return what the entry was refused."""
+        """Return the refusals sent to the entry."""
         return [m for m in self.link.sent if isinstance(m, Refusal)]
 
 
@@ -76,18 +76,19 @@
         (0.3, True, True),
         (0.6, True, False),
         (3.0, True, False),
-        # It was sent nowhere else, and its entry still waits for it.
+        # A non-repeatable attempt was sent nowhere else, and its entry still
+        # waits for it.
         (3.0, False, True),
     ],
 )
 def test_attempt_that_comes_late_is_not_begun(
     reached_upstream, late_s, repeatable, begins
 ):
-    """A frame is read seconds after its entry has sent it elsewhere.
+    """Guards against running an attempt that its entry has sent elsewhere.
 
-    Symptom: a crashing request takes one upstream more for each pause.
-    Events: a sidecar is paused with attempts in its sockets.
-    Cause: what is read after the pause looks as if it had just come.
+    A sidecar is paused with attempts in its sockets. Frames read after the
+    pause look newly sent unless their age is checked, and a crashing request
+    takes down one more upstream for each pause.
     """
     sidecar = Sidecar()
     now_ms = stamp_ms()
@@ -103,7 +104,7 @@
 
 @pytest.mark.parametrize("late_s", [0.0, 3.0])
 def test_deadline_counts_from_when_it_was_sent(monkeypatch, late_s):
-    """Symptom: an upstream works on for a caller that has long left."""
+    """Guards against work for a caller whose deadline passed in transit."""
     deadlines = []
     monkeypatch.setattr(
         runs_module,
@@ -129,20 +130,20 @@
         (True, False, False, True, False),
         (False, True, False, True, False),
         (True, True, True, True, False),
-        # Its caller may come back for it through another entry.
+        # The caller may resume it through another entry.
         (False, True, True, True, True),
-        # The entry comes back for it; nobody else has it.
+        # The entry resumes it, as a non-repeatable attempt runs nowhere else.
         (True, True, False, False, True),
     ],
 )
 def test_what_waited_while_its_entry_turned_elsewhere_is_not_begun(
     reached_upstream, lapsed, closed, resumable, repeatable, begins
 ):
-    """A request waits for a slot while the link to its entry is given up.
+    """Guards against running a queued attempt that its entry abandoned.
 
-    Symptom: an engine works for nobody, or a suspect runs in two places.
-    Events: the sidecar is paused, or its link closes, while it queues.
-    Cause: what queues is begun without a look at who still waits.
+    The sidecar is paused, or its link closes, while the attempt waits for a
+    slot. If the attempt starts without a check for subscribers, an engine
+    works without a reader, or a suspect request runs in two places.
     """
     sidecar = Sidecar()
     sidecar.take(attempt_of(resumable=resumable, repeatable=repeatable))
@@ -178,11 +179,11 @@
 def test_entry_is_told_once_a_lost_attempt_can_not_run_any_more(
     state, told, cancelled
 ):
-    """An entry never hears what became of what it gave up.
+    """Guards against an entry that gets no outcome of an abandoned attempt.
 
-    Symptom: a request is held back for a minute after a pause of seconds.
-    Events: a sidecar goes on after its links were closed as silent.
-    Cause: what was given up has no watcher that could be told.
+    A sidecar continues after its links were closed as silent. An abandoned
+    attempt has no subscriber that could receive its outcome, so a request was
+    held back for a minute after a pause of seconds.
     """
     sidecar = Sidecar()
     runs = sidecar.pair.runs
@@ -207,7 +208,7 @@
     assert [r.ran for r in refusals] == ([] if told is None else [told])
     if run is not None:
         assert run.cancelled.is_set() is cancelled
-    # It is fenced: the frame itself may still come.
+    # The attempt is fenced, as its frame may still arrive.
     if state == "never came":
         sidecar.take(attempt_of())
         assert not sidecar.tasks
--- a/tests/components/runs/test_two_gates.py
+++ b/tests/components/runs/test_two_gates.py
@@ -1,4 +1,4 @@
-"""Tests for the two gates when entry and sidecar know different things."""
+"""Tests for entry and sidecar checks on different configurations."""
 
 import random
 import threading
@@ -29,7 +29,7 @@
 
 
 def build_world(offered, allowed=VERSIONS):
-    """Build a world in which new sessions prefer m-1."""
+    """Build a world in which new sessions prefer m-1 if it is offered."""
     return World(
         versions={
             v: Version(
@@ -45,7 +45,7 @@
 
 
 class FakeConfiguration:
-    """A configuration, and a link over which another can be pulled."""
+    """A configuration, and the link that pulls a newer one from its source."""
 
     def __init__(self, revision, world, source=None):
         self.revision = revision
@@ -55,11 +55,11 @@
         self.loaded.set()
 
     def in_force(self, revision):
-        """Tell whether a revision is in force."""
+        """Return whether a revision is in force."""
         return self.revision >= revision
 
     def send(self, message):
-        """Take a pull as the peer would."""
+        """Apply the source's configuration, as after a pull from the peer."""
         assert isinstance(message, Pull)
         if self.source and self.source.revision > self.revision:
             self.world = self.source.world
@@ -67,7 +67,7 @@
 
 
 class FakeSidecar:
-    """The real gate behind a link that always works."""
+    """The sidecar's real checks behind a link that always works."""
 
     name = "worker-0"
 
@@ -81,11 +81,11 @@
         self.ran = []
 
     def load(self):
-        """Tell the load."""
+        """Return a constant load."""
         return 0.0
 
     def ask(self, attempt):
-        """Judge an attempt; what passes runs."""
+        """Check an attempt, and record its target as run if permitted."""
         try:
             self.runs.check_attempt(attempt, self.runs.configuration)
         except LacewingdockError as error:
@@ -95,22 +95,22 @@
 
 
 class FakeQuarantine:
-    """Holds nothing against any request."""
+    """A quarantine that permits every request."""
 
     def choose(self, _, candidates, tried, source, deadline):
-        """Choose any."""
+        """Choose an upstream without restrictions."""
         return choose_upstream(candidates, tried, source)
 
     def sending(self, *_):
-        """Return any context."""
+        """Return a context manager without effect on the request."""
         return threading.Lock()
 
     def prove(self, _):
-        """Take no note."""
+        """Ignore a success."""
 
 
 def ask(entry, sidecar, session=None):
-    """Ask as a caller does; returns the plan that was carried out."""
+    """Send a chat request as a caller; returns the plan that was executed."""
 
     def take_attempt(_, attempt):
         takes = iter([lambda: sidecar.ask(attempt) or [b"{}"], list])
@@ -144,27 +144,27 @@
 @pytest.mark.parametrize(
     ("entry", "sidecar", "session", "ran"),
     [
-        # The entry has not heard of the withdrawal: it catches up.
+        # The entry has not received the withdrawal: it catches up.
         ((1, VERSIONS), (2, ["m-2"]), "", "m-2"),
         ((1, VERSIONS), (2, ["m-2"]), "m-1", "m-2"),
         ((1, VERSIONS), (2, ["m-2"]), "m-2", "m-2"),
         ((1, VERSIONS), (2, []), "", ErrorKind.VERSION_WITHDRAWN),
-        # The sidecar has not heard of it.
+        # The sidecar has not received the withdrawal.
         ((2, ["m-2"]), (1, VERSIONS), "m-1", "m-2"),
         ((2, []), (1, VERSIONS), "", ErrorKind.VERSION_WITHDRAWN),
-        # The sidecar has not heard that the version is offered again.
+        # The sidecar has not received that the version is offered again.
         ((2, VERSIONS), (1, ["m-2"]), "", "m-1"),
         ((2, VERSIONS), (1, []), "m-1", "m-1"),
         ((1, VERSIONS), (1, VERSIONS), "", "m-1"),
     ],
 )
 def test_whoever_is_behind_catches_up(entry, sidecar, session, ran):
-    """A version is withdrawn or offered while one gate can't hear of it.
+    """Guards against refusals due to an outdated configuration.
 
-    Symptom: the caller is refused although another version may answer, or a
-    version just offered is called withdrawn.
-    Events: the entry plans on one revision; the sidecar judges on another.
-    Cause: each relied on the news to come round by itself.
+    A version is withdrawn or offered; the entry plans on one revision and the
+    sidecar checks on another. If both only wait for the update, the caller is
+    refused although another version may answer, or a version just offered is
+    refused as withdrawn.
     """
     old = FakeConfiguration(entry[0], build_world(entry[1]))
     new = FakeConfiguration(sidecar[0], build_world(sidecar[1]), old)
@@ -195,10 +195,10 @@
 
 
 def test_an_entry_that_can_not_catch_up_says_so():
-    """The refusal arrives and the news does not.
+    """Guards against endless retries, or a refusal with another cause.
 
-    Symptom: the request is tried for ever, or the refusal is made up.
-    Cause: the link fails after the refusal.
+    The link fails after the refusal: the entry receives the refusal, but not
+    the configuration that explains it.
     """
     old = FakeConfiguration(1, build_world(VERSIONS))
     guard = FakeSidecar(FakeConfiguration(2, build_world(["m-2"])), old)
--- a/tests/components/runs/test_withdrawal.py
+++ b/tests/components/runs/test_withdrawal.py
@@ -26,13 +26,13 @@
 
 
 def change(deployment, key, **fields):
-    """Change one object of the example; returns the revision."""
+    """Change fields of an example object; returns the new revision."""
     value = read_example()[key]
     return apply(deployment, {key: {**value, **fields}})
 
 
 def engine(deployment, **state):
-    """Set the engine's state, or with none, return it."""
+    """Set the engine's state; without arguments, return its status."""
     url = deployment.processes["engine-0"].url()
     if state:
         return call("POST", f"{url}/control", state)
@@ -54,11 +54,11 @@
 def test_a_queued_request_never_runs_on_what_was_withdrawn(
     deployment, key, fields, status
 ):
-    """A withdrawal comes while a request waits for the upstream.
+    """Guards against work for a version seconds after its withdrawal.
 
-    Symptom: a withdrawn version gets work seconds after its withdrawal.
-    Events: the request passed both gates, then waited for a slot.
-    Cause: what it was permitted by is not what is in force when it runs.
+    The request passed the checks of the entry and the sidecar and then waited
+    for a slot. The configuration that permitted it is no longer in force when
+    it runs.
     """
     change(deployment, "model/drafter", shares={"drafter-1": 1, "drafter-2": 0})
     engine(deployment, first_s=2.0)
@@ -77,11 +77,11 @@
 
 
 def test_a_session_keeps_its_version_until_it_is_withdrawn(deployment):
-    """Everything but the version changes under a planner's session.
+    """Guards against a session answered by another version.
 
-    Symptom: the session's answers come from another version.
-    Events: another entry, a roll-out, new session keys, restarted entries.
-    Cause: the version would have to be remembered by one of them.
+    The session moves to another entry and sees a roll-out, new session keys
+    and restarted entries. A version stored in only one of these processes
+    would be lost.
     """
     reply = chat(deployment, "a plan")
     assert reply.headers["lacewingdock-version"] == "drafter-1"
@@ -107,12 +107,11 @@
 
 
 def test_an_entry_that_slept_through_a_withdrawal(deployment):
-    """An entry is frozen while a version is withdrawn, then goes on.
+    """Guards against new work for a withdrawn version from a frozen entry.
 
-    Symptom: a withdrawn version gets new work from this entry.
-    Events: the request waits in the frozen entry's port; when the entry
-    goes on it still has the old configuration.
-    Cause: a frozen process can't hear news.
+    The entry is frozen during the withdrawal and receives no updates. Requests
+    wait in its port, and when it continues it still has the old
+    configuration.
     """
     assert chat(deployment, "before", entry="entry-1").status == 200
     entry = deployment.processes["entry-1"]
@@ -126,7 +125,7 @@
                 deployment.metric(p, "lacewingdock_configuration_revision")
                 >= revision
             ),
-            f"{name} has not heard",
+            f"{name} has not received the revision",
         )
     served = engine(deployment)["served"]["drafter-1"]
     with ThreadPoolExecutor(4) as pool:
