--- a/tests/components/runs/test_given_up.py
+++ b/tests/components/runs/test_given_up.py
@@ -53,7 +53,7 @@
         self.pair.daemon.spawn = lambda *task: self.tasks.append(task)
         self.link = self.pair.links[0].other
 
-    def take(self, attempt):
+    def receive(self, attempt):
         """Deliver an attempt as read from the link."""
         self.link.delay.record_stamp(attempt.sent_ms)
         self.pair.peers.deliver(self.link, attempt)
@@ -95,11 +95,11 @@
     sidecar.link.delay.record_stamp(now_ms)
     attempt = attempt_of(repeatable=repeatable)
     attempt.sent_ms = now_ms - int(late_s * 1000)
-    sidecar.take(attempt)
+    sidecar.receive(attempt)
     sidecar.run()
     assert reached_upstream == (["a1"] if begins else [])
-    told = [(r.code, r.ran) for r in sidecar.refusals()]
-    assert told == ([] if begins else [(ErrorKind.NO_UPSTREAM, RAN_NO)])
+    refused = [(r.code, r.ran) for r in sidecar.refusals()]
+    assert refused == ([] if begins else [(ErrorKind.NO_UPSTREAM, RAN_NO)])
 
 
 @pytest.mark.parametrize("late_s", [0.0, 3.0])
@@ -118,7 +118,7 @@
     sidecar.link.delay.record_stamp(now_ms)
     attempt = attempt_of(repeatable=False, deadline_ms=10_000)
     attempt.sent_ms = now_ms - int(late_s * 1000)
-    sidecar.take(attempt)
+    sidecar.receive(attempt)
     sidecar.run()
     assert deadlines == [pytest.approx(10.0 - late_s, abs=0.1)]
 
@@ -146,7 +146,7 @@
     works without a reader, or a suspect request runs in two places.
     """
     sidecar = Sidecar()
-    sidecar.take(attempt_of(resumable=resumable, repeatable=repeatable))
+    sidecar.receive(attempt_of(resumable=resumable, repeatable=repeatable))
     sidecar.link.lapsed = lapsed
     if closed:
         sidecar.pair.close(sidecar.link)
@@ -156,7 +156,7 @@
 
 def test_attempt_that_its_entry_came_back_for_is_begun(reached_upstream):
     sidecar = Sidecar()
-    sidecar.take(attempt_of())
+    sidecar.receive(attempt_of())
     sidecar.pair.close(sidecar.link)
     newer = sidecar.pair.connect().other
     (run,) = sidecar.pair.runs.run_store.runs()
@@ -189,7 +189,7 @@
     runs = sidecar.pair.runs
     run = None
     if state != "never came":
-        sidecar.take(attempt_of())
+        sidecar.receive(attempt_of())
         (run,) = runs.run_store.runs()
         sidecar.pair.close(sidecar.link)
     newer = sidecar.pair.connect().other
@@ -210,5 +210,5 @@
         assert run.cancelled.is_set() is cancelled
     # The attempt is fenced, as its frame may still arrive.
     if state == "never came":
-        sidecar.take(attempt_of())
+        sidecar.receive(attempt_of())
         assert not sidecar.tasks
--- a/tests/components/runs/test_two_gates.py
+++ b/tests/components/runs/test_two_gates.py
@@ -169,14 +169,14 @@
     old = FakeConfiguration(entry[0], build_world(entry[1]))
     new = FakeConfiguration(sidecar[0], build_world(sidecar[1]), old)
     old.source = new
-    guard = FakeSidecar(new, old)
+    fake_sidecar = FakeSidecar(new, old)
     token = Session("w", "m", session) if session else None
     try:
-        plan = ask(old, guard, token)
-        assert guard.ran == [ran]
+        plan = ask(old, fake_sidecar, token)
+        assert fake_sidecar.ran == [ran]
         assert plan.moved_from == (session if session not in ("", ran) else "")
     except LacewingdockError as error:
-        assert (error.kind, error.ran, guard.ran) == (ran, "no", [])
+        assert (error.kind, error.ran, fake_sidecar.ran) == (ran, "no", [])
 
 
 @pytest.mark.parametrize(
@@ -186,12 +186,12 @@
     old = FakeConfiguration(1, build_world(VERSIONS))
     new = FakeConfiguration(2, build_world(VERSIONS, allowed), old)
     old.source = new
-    guard = FakeSidecar(new, old)
+    fake_sidecar = FakeSidecar(new, old)
     try:
-        ask(old, guard)
-        assert guard.ran == [ran]
+        ask(old, fake_sidecar)
+        assert fake_sidecar.ran == [ran]
     except LacewingdockError as error:
-        assert (error.kind, error.ran, guard.ran) == (ran, "no", [])
+        assert (error.kind, error.ran, fake_sidecar.ran) == (ran, "no", [])
 
 
 def test_an_entry_that_can_not_catch_up_says_so():
@@ -201,8 +201,8 @@
     the configuration that explains it.
     """
     old = FakeConfiguration(1, build_world(VERSIONS))
-    guard = FakeSidecar(FakeConfiguration(2, build_world(["m-2"])), old)
+    fake_sidecar = FakeSidecar(FakeConfiguration(2, build_world(["m-2"])), old)
     with pytest.raises(LacewingdockError) as refused:
-        ask(old, guard)
+        ask(old, fake_sidecar)
     assert refused.value.kind is ErrorKind.VERSION_WITHDRAWN
-    assert (refused.value.ran, guard.ran) == ("no", [])
+    assert (refused.value.ran, fake_sidecar.ran) == ("no", [])
--- a/tests/components/runs/test_withdrawal.py
+++ b/tests/components/runs/test_withdrawal.py
@@ -39,7 +39,7 @@
     return call("GET", f"{url}/status").json()
 
 
-def session_of(reply):
+def session_headers(reply):
     return {"Lacewingdock-Session": reply.headers["lacewingdock-session"]}
 
 
@@ -89,19 +89,21 @@
     deployment.wait_revision(change(deployment, "model/drafter", shares=shares))
     keys = deployment.folder / "session.keys"
     keys.write_text("s2 a-new-session-key-of-the-test\n" + keys.read_text())
-    reply = chat(deployment, "b", entry="entry-1", headers=session_of(reply))
+    reply = chat(
+        deployment, "b", entry="entry-1", headers=session_headers(reply)
+    )
     assert reply.headers["lacewingdock-version"] == "drafter-1"
     for name in ("entry-0", "entry-1"):
         deployment.processes[name].kill()
         deployment.restart(name)
     deployment.wait_ready()
-    reply = chat(deployment, "c", headers=session_of(reply))
+    reply = chat(deployment, "c", headers=session_headers(reply))
     assert reply.headers["lacewingdock-version"] == "drafter-1"
     assert "lacewingdock-moved-from" not in reply.headers
     deployment.wait_revision(
         change(deployment, "version/drafter-1", state="withdrawn")
     )
-    reply = chat(deployment, "d", headers=session_of(reply))
+    reply = chat(deployment, "d", headers=session_headers(reply))
     assert reply.headers["lacewingdock-version"] == "drafter-2"
     assert reply.headers["lacewingdock-moved-from"] == "drafter-1"
 
