--- a/lacewingdock/components/runs/__init__.py
+++ b/lacewingdock/components/runs/__init__.py
@@ -1,4 +1,4 @@
-"""Support for the last gate before an upstream and what runs behind it."""
+"""Support for the sidecar's final checks and for running attempts."""
 
 import time
 from collections.abc import Callable
@@ -18,7 +18,7 @@
     fingerprint_of,
 )
 from lacewingdock.components.quarantine.crash_watch import CrashWatch
-from lacewingdock.components.runs.shelf import Shelf
+from lacewingdock.components.runs.run_store import RunStore
 from lacewingdock.components.runs.upstream_call import call_upstream
 from lacewingdock.components.runs.upstream_status import probe_upstream
 from lacewingdock.const import RAN_NO, RAN_UNKNOWN
@@ -39,15 +39,16 @@
 from lacewingdock.world.run import Run
 
 NAME: Final = "runs"
+# Seconds between two removals of expired answers.
 SWEEP_S: Final = 1.0
-# How long a run that may not be resumed by its caller outlives its entry's
-# link: long enough for the entry to come back over a new one.
+# Seconds that a run whose caller may not resume it outlives its entry's link:
+# long enough for the entry to reconnect over a new link.
 ORPHAN_S: Final = 5.0
-# How long aborted runs may take to tell their entries.
+# Seconds that aborted runs have to report their end to their entries.
 ABORT_S: Final = 0.5
 ABORT_POLL_S: Final = 0.01
 
-# The request itself is at fault and would never run, whoever refuses it.
+# The request itself is invalid: it would be refused by every sidecar.
 _REQUEST_FAULTS: Final = frozenset(
     {ErrorKind.BAD_REQUEST, ErrorKind.KEY_REQUIRED, ErrorKind.KEY_REUSED}
 )
@@ -56,22 +57,24 @@
 
 
 class Runs:
-    """What runs on this sidecar's upstream.
+    """Admits, runs and resumes the attempts for this sidecar's upstream.
 
     Attributes:
-        daemon: The daemon.
+        daemon: The sidecar's daemon.
         settings: The sidecar's settings.
-        peers: The links.
+        peers: The links to the entries.
         configuration: The configuration in force.
-        claims: The claims; None beside an engine.
-        quarantine: Which requests crash upstreams.
-        crashes: Notices that the upstream crashed.
-        billing: Gets a bill of each run before its end is told.
-        not_begun: Attempts that came too late to be begun.
-        slots: The upstream's capacity.
-        shelf: The runs and the answers kept.
+        claims: The claims on idempotency keys; None beside an engine.
+        quarantine: State of the requests that crash upstreams.
+        crashes: Detects crashes of the upstream.
+        billing: Receives a bill for each run before its end is reported.
+        not_begun: Counter of the attempts not begun because their entry had
+            given them up.
+        slots: The upstream's capacity, in concurrent runs, and its queue.
+        shelf: The runs and the stored answers, by attempt id.
         targets: Versions that the engine has loaded, or the service.
-        on_end: Called with each run that ended and when it came.
+        on_end: Called with each run that ended and the monotonic time, in
+            seconds, at which serving it started.
     """
 
     __slots__ = (
@@ -84,8 +87,8 @@
         "on_end",
         "peers",
         "quarantine",
+        "run_store",
         "settings",
-        "shelf",
         "slots",
         "targets",
     )
@@ -100,7 +103,7 @@
         quarantine: Quarantine,
         billing: SidecarBilling,
     ) -> None:
-        """Join the links."""
+        """Initialize the runs and register their message handlers."""
         self.billing = billing
         self.daemon = daemon
         self.settings = settings
@@ -120,7 +123,9 @@
             registry=daemon.metrics,
         )
         self.slots = Slots(settings.capacity, settings.queue)
-        self.shelf = Shelf(settings.replay_bytes, settings.resume_s, ORPHAN_S)
+        self.run_store = RunStore(
+            settings.replay_bytes, settings.resume_s, ORPHAN_S
+        )
         self.targets: list[str] = [settings.service] if settings.service else []
         self.on_end: Callable[[Run, float], None] = lambda *_: None
         peers.handle(Attempt, self._on_attempt)
@@ -131,11 +136,11 @@
         peers.beat = self._beat
 
     def start(self) -> None:
-        """Start clearing away old answers."""
-        self.daemon.every(SWEEP_S, self.shelf.sweep)
+        """Start the periodic removal of expired answers."""
+        self.daemon.every(SWEEP_S, self.run_store.sweep)
 
     def status(self) -> Status:
-        """What entries are told."""
+        """Build the status message for entries."""
         return Status(
             list(self.targets),
             self.slots.occupied,
@@ -146,11 +151,11 @@
         )
 
     def announce(self) -> None:
-        """Tell every entry now."""
+        """Send the status to every entry at once."""
         self.peers.broadcast(self.status())
 
     def set_targets(self, targets: list[str]) -> None:
-        """Take what the engine has loaded."""
+        """Set the served targets and announce them if they changed."""
         if targets != self.targets:
             self.targets = targets
             self.announce()
@@ -158,13 +163,13 @@
     def _on_crash(
         self, crash: str, isolated: bool, fingerprints: list[str]
     ) -> None:
-        """Tell of a crash, and that nothing is served until the next poll."""
+        """Report a crash and announce no targets until the next poll."""
         self.quarantine.report(crash, isolated, fingerprints)
         self.set_targets([])
 
     def active(self) -> int:
-        """Count the runs that have not ended or been fetched."""
-        return self.shelf.active()
+        """Count the runs not ended, or whose answer may still be fetched."""
+        return self.run_store.active()
 
     def _beat(self) -> Beat:
         return Beat(
@@ -172,39 +177,41 @@
         )
 
     def _on_attempt(self, link: Link, attempt: Attempt) -> None:
-        """Take an attempt in before the link's next frame is read.
+        """Store an attempt's run before the link's next frame is read.
 
-        A cancel or a resume that follows at once must find it.
+        A cancel or a resume that follows immediately must find the run.
         """
         run = Run(attempt)
         run.before_end = self.billing.on_end
-        match self.shelf.put(run):
+        match self.run_store.put(run):
             case None:
                 run.attach(link, attempt.attempt, 0)
-                run.refuse(_never_came(attempt.attempt))
+                run.refuse(_never_received_error(attempt.attempt))
             case first if first is run:
                 run.attach(link, attempt.attempt, 0)
                 late_s = link.delay.estimate_s(attempt.sent_ms)
                 self.daemon.spawn(self._serve, run, link, late_s)
             case first:
-                # The frame came twice; the id of another workspace's attempt
-                # must not open its answer.
-                self._send_rest(link, attempt.attempt, attempt.workspace, first)
+                # A duplicate frame. The id of another workspace's attempt
+                # must not give access to that attempt's answer.
+                self._send_remainder(
+                    link, attempt.attempt, attempt.workspace, first
+                )
 
     def _serve(self, run: Run, link: Link, late_s: float) -> None:
-        """Take one attempt through the gate and run it.
+        """Check, admit and run one attempt.
 
         Args:
             run: The attempt's run.
-            link: Where it came from.
-            late_s: Seconds that it was on its way beyond the usual.
+            link: The link that the attempt was received on.
+            late_s: Seconds of transit beyond the link's usual delay.
         """
         started = time.monotonic()
         try:
             self._admit(run, link, late_s)
         except LacewingdockError as error:
             run.refuse(
-                self._checked_ran(run, error), self.configuration.revision
+                self._restrict_not_run(run, error), self.configuration.revision
             )
         except Exception as error:
             log.exception("run failed", request_id=run.attempt.request)
@@ -214,14 +221,14 @@
                 self.claims.finish(run)
             self.on_end(run, started)
 
-    def _checked_ran(
+    def _restrict_not_run(
         self, run: Run, error: LacewingdockError
     ) -> LacewingdockError:
-        """Say "not run" of a key only where its home vouches for it.
+        """Return "not run" for a key only if its home confirms it.
 
-        The caller may send a key again after it lost the answer to a run;
-        "not run" from someone who doesn't know of that run would make it
-        book under another key.
+        A caller may send a key again after it lost the answer to a run. A
+        "not run" from a sidecar that has no record of that run would make
+        the caller book again, under another key.
         """
         if (
             error.ran != RAN_NO
@@ -239,26 +246,29 @@
         attempt = run.attempt
         run.deadline -= late_s
         if late_s > LAPSE_S and attempt.repeatable:
-            raise self._not_begun(run, f"it came {late_s:.1f} s late")
-        self.gate(attempt, link)
+            raise self._not_begun_error(run, f"received {late_s:.1f} s late")
+        self.check_attempt(attempt, link)
         self.billing.check_room()
         if attempt.repeatable or self.claims is None:
             self._execute(run)
             return
         match self.claims.admit(run):
             case Duplicate(first):
-                self._follow(run, first)
+                self._share_result(run, first)
             case Recorded(finish, body):
                 run.add(body)
                 run.end(finish)
             case None:
                 self._execute(run)
 
-    def gate(self, attempt: Attempt, link: Link) -> None:
-        """Check an attempt, on no older configuration than its entry's.
+    def check_attempt(self, attempt: Attempt, link: Link) -> None:
+        """Check an attempt against a configuration not older than its entry's.
 
         The entry may have decided at a later revision, at which the request
         is permitted: a version just offered must not be refused.
+
+        Raises:
+            LacewingdockError: The attempt may not run here.
         """
         try:
             self._check(attempt)
@@ -269,7 +279,7 @@
             self._check(attempt)
 
     def _check(self, attempt: Attempt) -> None:
-        """Refuse what may not run here; the entry's view may be older."""
+        """Check that an attempt may run here; its entry may be outdated."""
         if self.daemon.leaving.is_set():
             raise LacewingdockError(ErrorKind.LEAVING, "the sidecar is leaving")
         if not self.configuration.loaded.is_set():
@@ -299,8 +309,8 @@
                 ErrorKind.VERSION_WITHDRAWN, f"{attempt.target} is withdrawn"
             )
 
-    def _not_begun(self, run: Run, reason: str) -> LacewingdockError:
-        """Return the refusal of an attempt that its entry gave up."""
+    def _not_begun_error(self, run: Run, reason: str) -> LacewingdockError:
+        """Count, log and build the refusal of an abandoned attempt."""
         self.not_begun.inc()
         log.info(
             "attempt not begun",
@@ -313,7 +323,7 @@
         )
 
     def _execute(self, run: Run) -> None:
-        """Wait for a slot and run; a suspect waits until it can run alone."""
+        """Wait for a slot and run; a suspect request runs in isolation."""
         attempt = run.attempt
         fingerprint = fingerprint_of(attempt)
         done = False
@@ -325,21 +335,21 @@
                 done = self._run(run, fingerprint, alone)
 
     def _run(self, run: Run, fingerprint: str, alone: bool) -> bool:
-        """Check once more and call the upstream.
+        """Repeat the checks after the wait and call the upstream.
 
         Returns:
             False when the request became suspect, or was cleared, while it
-            waited, and so has to wait for another kind of slot.
+            waited, and so has to wait for the other kind of slot.
         """
-        # A withdrawal or a crash may have become known while this one queued.
+        # A withdrawal or a crash may have been reported while the run queued.
         self._check_permitted(run.attempt)
         suspect = self.quarantine.check(fingerprint) is Verdict.SUSPECT
         if run.cancelled.is_set():
             raise LacewingdockError(
-                ErrorKind.DEADLINE, "nobody waits any more", RAN_NO
+                ErrorKind.DEADLINE, "no caller is waiting any more", RAN_NO
             )
         if run.is_abandoned():
-            raise self._not_begun(run, "its entry has turned elsewhere")
+            raise self._not_begun_error(run, "its entry has abandoned it")
         if suspect != alone:
             return False
         self.quarantine.check_endangered(fingerprint, self.settings.instance)
@@ -358,42 +368,43 @@
             self.quarantine.excuse(fingerprint)
         return True
 
-    def _follow(self, run: Run, first: Run) -> None:
-        """Give a repeated request the answer of the run it repeats."""
-        self.shelf.alias(run.attempt.attempt, first)
+    def _share_result(self, run: Run, first: Run) -> None:
+        """Serve a duplicate request from the run that it repeats."""
+        self.run_store.alias(run.attempt.attempt, first)
         run.transfer_subscribers(first)
 
     def _on_resume(self, link: Link, resume: Resume) -> None:
-        run = self.shelf.get(resume.original)
+        run = self.run_store.get(resume.original)
         if run is None:
-            error = self._judge_unknown(resume)
+            error = self._unknown_attempt_error(resume)
             link.send(build_refusal(resume.attempt, error))
             return
-        self._send_rest(
+        self._send_remainder(
             link, resume.attempt, resume.workspace, run, resume.offset
         )
 
-    def _judge_unknown(self, resume: Resume) -> LacewingdockError:
-        """Say of an attempt that is not here whether it ran.
+    def _unknown_attempt_error(self, resume: Resume) -> LacewingdockError:
+        """Build the error for an attempt without a run on this sidecar.
 
-        "Not run" is only true of this very process, and only while it would
-        still remember; an entry that was frozen comes later than that.
+        "Not run" holds only for this incarnation of the sidecar, and only
+        while a run would still be stored; an entry that was frozen may ask
+        later than that.
         """
         is_remembered = (
             resume.incarnation == self.daemon.me.incarnation
             and resume.age_ms < self.settings.resume_s * MS_PER_S / 2
         )
-        is_new = is_remembered and self.shelf.fence(resume.original)
-        # Of a key only its claim can say that it did not run.
+        is_new = is_remembered and self.run_store.fence(resume.original)
+        # For a request with a key, only its claim shows that it did not run.
         if is_new and self.claims is None:
-            return _never_came(resume.original)
+            return _never_received_error(resume.original)
         return LacewingdockError(
             ErrorKind.ANSWER_GONE,
             "this sidecar has no such answer",
             RAN_UNKNOWN,
         )
 
-    def _send_rest(
+    def _send_remainder(
         self,
         link: Link,
         attempt: str,
@@ -401,7 +412,7 @@
         run: Run,
         offset: int = 0,
     ) -> None:
-        """Give an answer from an offset on, to its own workspace only."""
+        """Send an answer from an offset on, to its own workspace only."""
         if run.attempt.workspace != workspace:
             log.warning(
                 "resume refused", peer=link.peer.instance, workspace=workspace
@@ -413,42 +424,48 @@
             )
             link.send(build_refusal(attempt, error))
             return
-        # The entry gave its old link up; here that link may look open for long,
-        # and would count as somebody who waits.
+        # The entry has abandoned its old link, which may appear open here for
+        # long and would count as a subscriber.
         run.detach_peer(link)
-        self.shelf.alias(attempt, run)
+        self.run_store.alias(attempt, run)
         self.daemon.spawn(run.attach, link, attempt, offset)
 
     def _on_cancel(self, link: Link, cancel: Cancel) -> None:
-        run = self.shelf.get(cancel.attempt)
+        run = self.run_store.get(cancel.attempt)
         if cancel.settle:
-            self._settle(link, cancel.attempt, run)
+            self._resolve_abandoned(link, cancel.attempt, run)
             return
-        # Only whoever gets the answer may give it up, and only while nobody
-        # else gets it: a run between two links has no watcher either.
+        # Only a subscriber may cancel a run, and only as its last one. A run
+        # whose entry is between two links has no subscriber either.
         if run is None or not run.detach(link, cancel.attempt):
             return
         attempt = run.attempt
         if cancel.ended:
             run.end_delivered = True
-            self.shelf.release(run)
+            self.run_store.release(run)
         elif cancel.keep or attempt.resumable:
             run.resume_announced = True
         elif attempt.repeatable and not run.subscribers:
             run.caller_left = cancel.left
             run.cancel()
 
-    def _settle(self, link: Link, attempt: str, run: Run | None) -> None:
-        """Tell of an attempt that was given up once it can't run any more."""
+    def _resolve_abandoned(
+        self, link: Link, attempt: str, run: Run | None
+    ) -> None:
+        """Report an abandoned attempt once it can no longer run."""
         if run is None:
-            if self.shelf.fence(attempt):
-                link.send(build_refusal(attempt, _never_came(attempt)))
+            if self.run_store.fence(attempt):
+                link.send(
+                    build_refusal(attempt, _never_received_error(attempt))
+                )
             return
-        # The link that the entry gave up may still look open here.
+        # The link that the entry abandoned may still appear open here.
         run.detach_peer(link)
         if run.outcome is not None:
             ran = RAN_UNKNOWN if run.executed else RAN_NO
-            error = LacewingdockError(ErrorKind.NO_UPSTREAM, "it ended", ran)
+            error = LacewingdockError(
+                ErrorKind.NO_UPSTREAM, "the attempt has ended", ran
+            )
             link.send(build_refusal(attempt, error))
         elif run.attempt.repeatable and not (
             run.resume_announced or run.subscribers
@@ -456,26 +473,27 @@
             run.cancel()
 
     def _on_close(self, link: Link) -> None:
-        for run in self.shelf.runs():
+        for run in self.run_store.runs():
             run.detach(link)
 
     def unload(self) -> None:
-        """Abort what still runs; the grace time is over.
+        """Abort the remaining runs when the grace time is over.
 
-        The entries are told, so that their callers need not find out.
+        The entries receive the outcome, so that their callers need not wait
+        for a timeout.
         """
-        for run in self.shelf.runs():
+        for run in self.run_store.runs():
             run.cancel()
         end = time.monotonic() + ABORT_S
         while time.monotonic() < end and any(
-            run.outcome is None for run in self.shelf.runs()
+            run.outcome is None for run in self.run_store.runs()
         ):
             time.sleep(ABORT_POLL_S)
 
 
-def _never_came(attempt: str) -> LacewingdockError:
+def _never_received_error(attempt: str) -> LacewingdockError:
     return LacewingdockError(
-        ErrorKind.NO_UPSTREAM, f"attempt {attempt} never came", RAN_NO
+        ErrorKind.NO_UPSTREAM, f"attempt {attempt} was never received", RAN_NO
     )
 
 
@@ -488,7 +506,7 @@
     quarantine: Quarantine,
     billing: SidecarBilling,
 ) -> Runs:
-    """Set the runs up."""
+    """Create the runs of a sidecar and add them to its daemon."""
     runs = Runs(
         daemon, settings, peers, configuration, claims, quarantine, billing
     )
--- a/tests/components/runs/test_given_up.py
+++ b/tests/components/runs/test_given_up.py
@@ -1,4 +1,4 @@
-"""Tests for attempts that their entry has given up, over links in memory."""
+"""Tests for attempts abandoned by their entry, over in-memory links."""
 
 import contextlib
 import threading
@@ -18,8 +18,8 @@
 
 
 @pytest.fixture
-def begun(monkeypatch):
-    """Ids of the attempts that reached the upstream."""
+def reached_upstream(monkeypatch):
+    """Collect the ids of the attempts that reached the upstream."""
     ids = []
     monkeypatch.setattr(
         runs_module,
@@ -30,7 +30,7 @@
 
 
 class Sidecar:
-    """A sidecar whose tasks wait until the test lets them run."""
+    """A sidecar whose tasks are queued until the test runs them."""
 
     def __init__(self):
         self.pair = Pair()
@@ -53,19 +53,19 @@
         self.pair.daemon.spawn = lambda *task: self.tasks.append(task)
         self.link = self.pair.links[0].other
 
-    def take(self, attempt):
-        """Read an attempt's frame."""
+    def receive(self, attempt):
+        """Deliver an attempt as read from the link."""
         self.link.delay.record_stamp(attempt.sent_ms)
         self.pair.peers.deliver(self.link, attempt)
 
     def run(self):
-        """Let what waits go on."""
+        """Run the queued tasks."""
         tasks, self.tasks = self.tasks, []
         for function, *arguments in tasks:
             function(*arguments)
 
     def refusals(self):
-        """Return what the entry was refused."""
+        """Return the refusals sent to the entry."""
         return [m for m in self.link.sent if isinstance(m, Refusal)]
 
 
@@ -76,34 +76,35 @@
         (0.3, True, True),
         (0.6, True, False),
         (3.0, True, False),
-        # It was sent nowhere else, and its entry still waits for it.
+        # A non-repeatable attempt was sent nowhere else, and its entry still
+        # waits for it.
         (3.0, False, True),
     ],
 )
 def test_attempt_that_comes_late_is_not_begun(
-    begun, late_s, repeatable, begins
+    reached_upstream, late_s, repeatable, begins
 ):
-    """A frame is read seconds after its entry has sent it elsewhere.
+    """Guards against running an attempt that its entry has sent elsewhere.
 
-    Symptom: a crashing request takes one upstream more for each pause.
-    Events: a sidecar is paused with attempts in its sockets.
-    Cause: what is read after the pause looks as if it had just come.
+    A sidecar is paused with attempts in its sockets. Frames read after the
+    pause look newly sent unless their age is checked, and a crashing request
+    takes down one more upstream for each pause.
     """
     sidecar = Sidecar()
     now_ms = stamp_ms()
     sidecar.link.delay.record_stamp(now_ms)
     attempt = attempt_of(repeatable=repeatable)
     attempt.sent_ms = now_ms - int(late_s * 1000)
-    sidecar.take(attempt)
+    sidecar.receive(attempt)
     sidecar.run()
-    assert begun == (["a1"] if begins else [])
-    told = [(r.code, r.ran) for r in sidecar.refusals()]
-    assert told == ([] if begins else [(ErrorKind.NO_UPSTREAM, RAN_NO)])
+    assert reached_upstream == (["a1"] if begins else [])
+    refused = [(r.code, r.ran) for r in sidecar.refusals()]
+    assert refused == ([] if begins else [(ErrorKind.NO_UPSTREAM, RAN_NO)])
 
 
 @pytest.mark.parametrize("late_s", [0.0, 3.0])
 def test_deadline_counts_from_when_it_was_sent(monkeypatch, late_s):
-    """Symptom: an upstream works on for a caller that has long left."""
+    """Guards against work for a caller whose deadline passed in transit."""
     deadlines = []
     monkeypatch.setattr(
         runs_module,
@@ -117,7 +118,7 @@
     sidecar.link.delay.record_stamp(now_ms)
     attempt = attempt_of(repeatable=False, deadline_ms=10_000)
     attempt.sent_ms = now_ms - int(late_s * 1000)
-    sidecar.take(attempt)
+    sidecar.receive(attempt)
     sidecar.run()
     assert deadlines == [pytest.approx(10.0 - late_s, abs=0.1)]
 
@@ -129,39 +130,39 @@
         (True, False, False, True, False),
         (False, True, False, True, False),
         (True, True, True, True, False),
-        # Its caller may come back for it through another entry.
+        # The caller may resume it through another entry.
         (False, True, True, True, True),
-        # The entry comes back for it; nobody else has it.
+        # The entry resumes it, as a non-repeatable attempt runs nowhere else.
         (True, True, False, False, True),
     ],
 )
 def test_what_waited_while_its_entry_turned_elsewhere_is_not_begun(
-    begun, lapsed, closed, resumable, repeatable, begins
+    reached_upstream, lapsed, closed, resumable, repeatable, begins
 ):
-    """A request waits for a slot while the link to its entry is given up.
+    """Guards against running a queued attempt that its entry abandoned.
 
-    Symptom: an engine works for nobody, or a suspect runs in two places.
-    Events: the sidecar is paused, or its link closes, while it queues.
-    Cause: what queues is begun without a look at who still waits.
+    The sidecar is paused, or its link closes, while the attempt waits for a
+    slot. If the attempt starts without a check for subscribers, an engine
+    works without a reader, or a suspect request runs in two places.
     """
     sidecar = Sidecar()
-    sidecar.take(attempt_of(resumable=resumable, repeatable=repeatable))
+    sidecar.receive(attempt_of(resumable=resumable, repeatable=repeatable))
     sidecar.link.lapsed = lapsed
     if closed:
         sidecar.pair.close(sidecar.link)
     sidecar.run()
-    assert begun == (["a1"] if begins else [])
+    assert reached_upstream == (["a1"] if begins else [])
 
 
-def test_attempt_that_its_entry_came_back_for_is_begun(begun):
+def test_attempt_that_its_entry_came_back_for_is_begun(reached_upstream):
     sidecar = Sidecar()
-    sidecar.take(attempt_of())
+    sidecar.receive(attempt_of())
     sidecar.pair.close(sidecar.link)
     newer = sidecar.pair.connect().other
-    (run,) = sidecar.pair.runs.shelf.runs()
+    (run,) = sidecar.pair.runs.run_store.runs()
     run.attach(newer, "a2", 0)
     sidecar.run()
-    assert begun == ["a1"]
+    assert reached_upstream == ["a1"]
 
 
 @pytest.mark.parametrize(
@@ -178,18 +179,18 @@
 def test_entry_is_told_once_a_lost_attempt_can_not_run_any_more(
     state, told, cancelled
 ):
-    """An entry never hears what became of what it gave up.
+    """Guards against an entry that gets no outcome of an abandoned attempt.
 
-    Symptom: a request is held back for a minute after a pause of seconds.
-    Events: a sidecar goes on after its links were closed as silent.
-    Cause: what was given up has no watcher that could be told.
+    A sidecar continues after its links were closed as silent. An abandoned
+    attempt has no subscriber that could receive its outcome, so a request was
+    held back for a minute after a pause of seconds.
     """
     sidecar = Sidecar()
     runs = sidecar.pair.runs
     run = None
     if state != "never came":
-        sidecar.take(attempt_of())
-        (run,) = runs.shelf.runs()
+        sidecar.receive(attempt_of())
+        (run,) = runs.run_store.runs()
         sidecar.pair.close(sidecar.link)
     newer = sidecar.pair.connect().other
     match state:
@@ -207,7 +208,7 @@
     assert [r.ran for r in refusals] == ([] if told is None else [told])
     if run is not None:
         assert run.cancelled.is_set() is cancelled
-    # It is fenced: the frame itself may still come.
+    # The attempt is fenced, as its frame may still arrive.
     if state == "never came":
-        sidecar.take(attempt_of())
+        sidecar.receive(attempt_of())
         assert not sidecar.tasks
--- a/tests/components/runs/test_two_gates.py
+++ b/tests/components/runs/test_two_gates.py
@@ -1,4 +1,4 @@
-"""Tests for the two gates when entry and sidecar know different things."""
+"""Tests for entry and sidecar checks on different configurations."""
 
 import random
 import threading
@@ -28,8 +28,8 @@
 VERSIONS = ["m-1", "m-2"]
 
 
-def world_of(offered, allowed=VERSIONS):
-    """Build a world in which new sessions prefer m-1."""
+def build_world(offered, allowed=VERSIONS):
+    """Build a world in which new sessions prefer m-1 if it is offered."""
     return World(
         versions={
             v: Version(
@@ -45,7 +45,7 @@
 
 
 class FakeConfiguration:
-    """A configuration, and a link over which another can be pulled."""
+    """A configuration, and the link that pulls a newer one from its source."""
 
     def __init__(self, revision, world, source=None):
         self.revision = revision
@@ -55,11 +55,11 @@
         self.loaded.set()
 
     def in_force(self, revision):
-        """Tell whether a revision is in force."""
+        """Return whether a revision is in force."""
         return self.revision >= revision
 
     def send(self, message):
-        """Take a pull as the peer would."""
+        """Apply the source's configuration, as after a pull from the peer."""
         assert isinstance(message, Pull)
         if self.source and self.source.revision > self.revision:
             self.world = self.source.world
@@ -67,7 +67,7 @@
 
 
 class FakeSidecar:
-    """The real gate behind a link that always works."""
+    """The sidecar's real checks behind a link that always works."""
 
     name = "worker-0"
 
@@ -81,13 +81,13 @@
         self.ran = []
 
     def load(self):
-        """Tell the load."""
+        """Return a constant load."""
         return 0.0
 
     def ask(self, attempt):
-        """Judge an attempt; what passes runs."""
+        """Check an attempt, and record its target as run if permitted."""
         try:
-            self.runs.gate(attempt, self.runs.configuration)
+            self.runs.check_attempt(attempt, self.runs.configuration)
         except LacewingdockError as error:
             error.revision = self.runs.configuration.revision
             raise
@@ -95,22 +95,22 @@
 
 
 class FakeQuarantine:
-    """Holds nothing against any request."""
+    """A quarantine that permits every request."""
 
     def choose(self, _, candidates, tried, source, deadline):
-        """Choose any."""
+        """Choose an upstream without restrictions."""
         return choose_upstream(candidates, tried, source)
 
     def sending(self, *_):
-        """Return any context."""
+        """Return a context manager without effect on the request."""
         return threading.Lock()
 
     def prove(self, _):
-        """Take no note."""
+        """Ignore a success."""
 
 
 def ask(entry, sidecar, session=None):
-    """Ask as a caller does; returns the plan that was carried out."""
+    """Send a chat request as a caller; returns the plan that was executed."""
 
     def take_attempt(_, attempt):
         takes = iter([lambda: sidecar.ask(attempt) or [b"{}"], list])
@@ -144,65 +144,65 @@
 @pytest.mark.parametrize(
     ("entry", "sidecar", "session", "ran"),
     [
-        # The entry has not heard of the withdrawal: it catches up.
+        # The entry has not received the withdrawal: it catches up.
         ((1, VERSIONS), (2, ["m-2"]), "", "m-2"),
         ((1, VERSIONS), (2, ["m-2"]), "m-1", "m-2"),
         ((1, VERSIONS), (2, ["m-2"]), "m-2", "m-2"),
         ((1, VERSIONS), (2, []), "", ErrorKind.VERSION_WITHDRAWN),
-        # The sidecar has not heard of it.
+        # The sidecar has not received the withdrawal.
         ((2, ["m-2"]), (1, VERSIONS), "m-1", "m-2"),
         ((2, []), (1, VERSIONS), "", ErrorKind.VERSION_WITHDRAWN),
-        # The sidecar has not heard that the version is offered again.
+        # The sidecar has not received that the version is offered again.
         ((2, VERSIONS), (1, ["m-2"]), "", "m-1"),
         ((2, VERSIONS), (1, []), "m-1", "m-1"),
         ((1, VERSIONS), (1, VERSIONS), "", "m-1"),
     ],
 )
 def test_whoever_is_behind_catches_up(entry, sidecar, session, ran):
-    """A version is withdrawn or offered while one gate can't hear of it.
+    """Guards against refusals due to an outdated configuration.
 
-    Symptom: the caller is refused although another version may answer, or a
-    version just offered is called withdrawn.
-    Events: the entry plans on one revision; the sidecar judges on another.
-    Cause: each relied on the news to come round by itself.
+    A version is withdrawn or offered; the entry plans on one revision and the
+    sidecar checks on another. If both only wait for the update, the caller is
+    refused although another version may answer, or a version just offered is
+    refused as withdrawn.
     """
-    old = FakeConfiguration(entry[0], world_of(entry[1]))
-    new = FakeConfiguration(sidecar[0], world_of(sidecar[1]), old)
+    old = FakeConfiguration(entry[0], build_world(entry[1]))
+    new = FakeConfiguration(sidecar[0], build_world(sidecar[1]), old)
     old.source = new
-    guard = FakeSidecar(new, old)
+    fake_sidecar = FakeSidecar(new, old)
     token = Session("w", "m", session) if session else None
     try:
-        plan = ask(old, guard, token)
-        assert guard.ran == [ran]
+        plan = ask(old, fake_sidecar, token)
+        assert fake_sidecar.ran == [ran]
         assert plan.moved_from == (session if session not in ("", ran) else "")
     except LacewingdockError as error:
-        assert (error.kind, error.ran, guard.ran) == (ran, "no", [])
+        assert (error.kind, error.ran, fake_sidecar.ran) == (ran, "no", [])
 
 
 @pytest.mark.parametrize(
     ("allowed", "ran"), [(["m-2"], "m-2"), ([], ErrorKind.MODEL_NOT_ALLOWED)]
 )
 def test_a_permission_taken_away(allowed, ran):
-    old = FakeConfiguration(1, world_of(VERSIONS))
-    new = FakeConfiguration(2, world_of(VERSIONS, allowed), old)
+    old = FakeConfiguration(1, build_world(VERSIONS))
+    new = FakeConfiguration(2, build_world(VERSIONS, allowed), old)
     old.source = new
-    guard = FakeSidecar(new, old)
+    fake_sidecar = FakeSidecar(new, old)
     try:
-        ask(old, guard)
-        assert guard.ran == [ran]
+        ask(old, fake_sidecar)
+        assert fake_sidecar.ran == [ran]
     except LacewingdockError as error:
-        assert (error.kind, error.ran, guard.ran) == (ran, "no", [])
+        assert (error.kind, error.ran, fake_sidecar.ran) == (ran, "no", [])
 
 
 def test_an_entry_that_can_not_catch_up_says_so():
-    """The refusal arrives and the news does not.
+    """Guards against endless retries, or a refusal with another cause.
 
-    Symptom: the request is tried for ever, or the refusal is made up.
-    Cause: the link fails after the refusal.
+    The link fails after the refusal: the entry receives the refusal, but not
+    the configuration that explains it.
     """
-    old = FakeConfiguration(1, world_of(VERSIONS))
-    guard = FakeSidecar(FakeConfiguration(2, world_of(["m-2"])), old)
+    old = FakeConfiguration(1, build_world(VERSIONS))
+    fake_sidecar = FakeSidecar(FakeConfiguration(2, build_world(["m-2"])), old)
     with pytest.raises(LacewingdockError) as refused:
-        ask(old, guard)
+        ask(old, fake_sidecar)
     assert refused.value.kind is ErrorKind.VERSION_WITHDRAWN
-    assert (refused.value.ran, guard.ran) == ("no", [])
+    assert (refused.value.ran, fake_sidecar.ran) == ("no", [])
--- a/tests/components/runs/test_withdrawal.py
+++ b/tests/components/runs/test_withdrawal.py
@@ -26,20 +26,20 @@
 
 
 def change(deployment, key, **fields):
-    """Change one object of the example; returns the revision."""
+    """Change fields of an example object; returns the new revision."""
     value = read_example()[key]
     return apply(deployment, {key: {**value, **fields}})
 
 
 def engine(deployment, **state):
-    """Set the engine's state, or with none, return it."""
+    """Set the engine's state; without arguments, return its status."""
     url = deployment.processes["engine-0"].url()
     if state:
         return call("POST", f"{url}/control", state)
     return call("GET", f"{url}/status").json()
 
 
-def session_of(reply):
+def session_headers(reply):
     return {"Lacewingdock-Session": reply.headers["lacewingdock-session"]}
 
 
@@ -54,11 +54,11 @@
 def test_a_queued_request_never_runs_on_what_was_withdrawn(
     deployment, key, fields, status
 ):
-    """A withdrawal comes while a request waits for the upstream.
+    """Guards against work for a version seconds after its withdrawal.
 
-    Symptom: a withdrawn version gets work seconds after its withdrawal.
-    Events: the request passed both gates, then waited for a slot.
-    Cause: what it was permitted by is not what is in force when it runs.
+    The request passed the checks of the entry and the sidecar and then waited
+    for a slot. The configuration that permitted it is no longer in force when
+    it runs.
     """
     change(deployment, "model/drafter", shares={"drafter-1": 1, "drafter-2": 0})
     engine(deployment, first_s=2.0)
@@ -77,11 +77,11 @@
 
 
 def test_a_session_keeps_its_version_until_it_is_withdrawn(deployment):
-    """Everything but the version changes under a planner's session.
+    """Guards against a session answered by another version.
 
-    Symptom: the session's answers come from another version.
-    Events: another entry, a roll-out, new session keys, restarted entries.
-    Cause: the version would have to be remembered by one of them.
+    The session moves to another entry and sees a roll-out, new session keys
+    and restarted entries. A version stored in only one of these processes
+    would be lost.
     """
     reply = chat(deployment, "a plan")
     assert reply.headers["lacewingdock-version"] == "drafter-1"
@@ -89,30 +89,31 @@
     deployment.wait_revision(change(deployment, "model/drafter", shares=shares))
     keys = deployment.folder / "session.keys"
     keys.write_text("s2 a-new-session-key-of-the-test\n" + keys.read_text())
-    reply = chat(deployment, "b", entry="entry-1", headers=session_of(reply))
+    reply = chat(
+        deployment, "b", entry="entry-1", headers=session_headers(reply)
+    )
     assert reply.headers["lacewingdock-version"] == "drafter-1"
     for name in ("entry-0", "entry-1"):
         deployment.processes[name].kill()
         deployment.restart(name)
     deployment.wait_ready()
-    reply = chat(deployment, "c", headers=session_of(reply))
+    reply = chat(deployment, "c", headers=session_headers(reply))
     assert reply.headers["lacewingdock-version"] == "drafter-1"
     assert "lacewingdock-moved-from" not in reply.headers
     deployment.wait_revision(
         change(deployment, "version/drafter-1", state="withdrawn")
     )
-    reply = chat(deployment, "d", headers=session_of(reply))
+    reply = chat(deployment, "d", headers=session_headers(reply))
     assert reply.headers["lacewingdock-version"] == "drafter-2"
     assert reply.headers["lacewingdock-moved-from"] == "drafter-1"
 
 
 def test_an_entry_that_slept_through_a_withdrawal(deployment):
-    """An entry is frozen while a version is withdrawn, then goes on.
+    """Guards against new work for a withdrawn version from a frozen entry.
 
-    Symptom: a withdrawn version gets new work from this entry.
-    Events: the request waits in the frozen entry's port; when the entry
-    goes on it still has the old configuration.
-    Cause: a frozen process can't hear news.
+    The entry is frozen during the withdrawal and receives no updates. Requests
+    wait in its port, and when it continues it still has the old
+    configuration.
     """
     assert chat(deployment, "before", entry="entry-1").status == 200
     entry = deployment.processes["entry-1"]
@@ -126,7 +127,7 @@
                 deployment.metric(p, "lacewingdock_configuration_revision")
                 >= revision
             ),
-            f"{name} has not heard",
+            f"{name} has not received the revision",
         )
     served = engine(deployment)["served"]["drafter-1"]
     with ThreadPoolExecutor(4) as pool:
