--- a/lacewingdock/components/callers/relay.py
+++ b/lacewingdock/components/callers/relay.py
@@ -14,7 +14,7 @@
     Verdict,
     fingerprint_of,
 )
-from lacewingdock.components.quarantine.losses import Loss
+from lacewingdock.components.quarantine.lost_attempts import Loss
 from lacewingdock.const import RAN_NO, RAN_UNKNOWN
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.clock import MS_PER_S
--- a/lacewingdock/components/language/plans.py
+++ b/lacewingdock/components/language/plans.py
@@ -14,7 +14,7 @@
     Unload,
     Word,
 )
-from lacewingdock.components.quarantine.operate import released
+from lacewingdock.components.quarantine.storage import released
 from lacewingdock.components.rollouts.commands import (
     begin_rollout,
     begin_unload,
--- a/lacewingdock/components/quarantine/__init__.py
+++ b/lacewingdock/components/quarantine/__init__.py
@@ -29,13 +29,16 @@
     Verdict,
 )
 from lacewingdock.components.quarantine.fingerprint import fingerprint_of
-from lacewingdock.components.quarantine.losses import Loss, Losses
-from lacewingdock.components.quarantine.operate import (
+from lacewingdock.components.quarantine.loss_publisher import ToldLosses
+from lacewingdock.components.quarantine.lost_attempts import Loss, Losses
+from lacewingdock.components.quarantine.placement import (
+    Placing,
+    choose_isolated,
+)
+from lacewingdock.components.quarantine.storage import (
     clear_expired,
     write_quarantine,
 )
-from lacewingdock.components.quarantine.placing import Placing, choose_isolated
-from lacewingdock.components.quarantine.told_losses import ToldLosses
 from lacewingdock.const import RAN_NO
 from lacewingdock.core import Daemon
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
--- a/lacewingdock/components/quarantine/told_losses.py
+++ b/lacewingdock/components/quarantine/loss_publisher.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 
 from lacewingdock.components.quarantine.evidence import Endangered
-from lacewingdock.components.quarantine.losses import Losses
-from lacewingdock.components.quarantine.placing import Placing
+from lacewingdock.components.quarantine.lost_attempts import Losses
+from lacewingdock.components.quarantine.placement import Placing
 from lacewingdock.helpers.ids import new_id
 from lacewingdock.links.messages import Evidence
 
--- a/lacewingdock/components/quarantine/inquiry.py
+++ b/lacewingdock/components/quarantine/loss_resolver.py
@@ -6,7 +6,7 @@
 from lacewingdock.components.peers import Peers
 from lacewingdock.components.quarantine import Quarantine
 from lacewingdock.components.quarantine.const import ASK_S, LOSS_S
-from lacewingdock.components.quarantine.losses import Loss
+from lacewingdock.components.quarantine.lost_attempts import Loss
 from lacewingdock.core import Daemon
 from lacewingdock.links.link import Link
 from lacewingdock.links.messages import Cancel, Refusal
--- a/lacewingdock/components/runs/__init__.py
+++ b/lacewingdock/components/runs/__init__.py
@@ -17,7 +17,7 @@
     Verdict,
     fingerprint_of,
 )
-from lacewingdock.components.quarantine.crash_watch import CrashWatch
+from lacewingdock.components.quarantine.crash_detector import CrashWatch
 from lacewingdock.components.runs.shelf import Shelf
 from lacewingdock.components.runs.upstream_call import call_upstream
 from lacewingdock.components.runs.upstream_status import probe_upstream
--- a/lacewingdock/daemons/entry.py
+++ b/lacewingdock/daemons/entry.py
@@ -25,7 +25,7 @@
 from lacewingdock.components.exposure import watch
 from lacewingdock.components.exposure.fleet import FleetJudge
 from lacewingdock.components.metrics import entry as metrics
-from lacewingdock.components.quarantine.inquiry import Inquiry
+from lacewingdock.components.quarantine.loss_resolver import Inquiry
 from lacewingdock.components.rollouts import emergency
 from lacewingdock.core import Daemon
 from lacewingdock.links.keys import load_keys
--- a/tests/components/quarantine/test_crash.py
+++ b/tests/components/quarantine/test_crash.py
@@ -8,7 +8,7 @@
 from bench.deployment import Deployment, Shape, wait_until
 from bench.example import apply_example
 from bench.http import call
-from lacewingdock.components.quarantine.operate import (
+from lacewingdock.components.quarantine.storage import (
     list_quarantines,
     release_quarantine,
 )
--- a/tests/components/quarantine/test_crash_watch.py
+++ b/tests/components/quarantine/test_crash_watch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lacewingdock.components.quarantine.crash_watch import CrashWatch
+from lacewingdock.components.quarantine.crash_detector import CrashWatch
 from lacewingdock.exceptions import (
     ErrorKind,
     LacewingdockError,
--- a/tests/components/quarantine/test_losses.py
+++ b/tests/components/quarantine/test_losses.py
@@ -15,10 +15,10 @@
     EvidenceTable,
     Verdict,
 )
-from lacewingdock.components.quarantine.inquiry import Inquiry
-from lacewingdock.components.quarantine.losses import Loss, Losses
-from lacewingdock.components.quarantine.placing import Placing
-from lacewingdock.components.quarantine.told_losses import ToldLosses
+from lacewingdock.components.quarantine.loss_publisher import ToldLosses
+from lacewingdock.components.quarantine.loss_resolver import Inquiry
+from lacewingdock.components.quarantine.lost_attempts import Loss, Losses
+from lacewingdock.components.quarantine.placement import Placing
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.links.messages import Cancel, Evidence, Refusal
 from tests.components.quarantine.common import upstream as bare_upstream
@@ -312,7 +312,7 @@
 
 def test_losses_are_bounded(monkeypatch):
     monkeypatch.setattr(
-        "lacewingdock.components.quarantine.losses.MAX_LOSSES", 3
+        "lacewingdock.components.quarantine.lost_attempts.MAX_LOSSES", 3
     )
     losses = Losses()
     for index in range(5):
--- a/tests/components/quarantine/test_placing.py
+++ b/tests/components/quarantine/test_placing.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from lacewingdock.components.quarantine import fingerprint_of
-from lacewingdock.components.quarantine.placing import (
+from lacewingdock.components.quarantine.placement import (
     Placing,
     choose_isolated,
 )
--- a/tests/components/quarantine/virtual_fleet.py
+++ b/tests/components/quarantine/virtual_fleet.py
@@ -24,9 +24,9 @@
 from lacewingdock.components.answers import answer as answer_module
 from lacewingdock.components.callers.relay import Relay
 from lacewingdock.components.peers import Peers
-from lacewingdock.components.quarantine import crash_watch as crash_module
-from lacewingdock.components.quarantine import told_losses as told_module
-from lacewingdock.components.quarantine.inquiry import Inquiry
+from lacewingdock.components.quarantine import crash_detector as crash_module
+from lacewingdock.components.quarantine import loss_publisher as told_module
+from lacewingdock.components.quarantine.loss_resolver import Inquiry
 from lacewingdock.const import RAN_NO, RAN_UNKNOWN
 from lacewingdock.exceptions import LacewingdockError, UpstreamLost
 from lacewingdock.helpers import clock as clock_module
