--- a/lacewingdock/components/budgets/__init__.py
+++ b/lacewingdock/components/budgets/__init__.py
@@ -22,7 +22,7 @@
     SWEEP_S,
 )
 from lacewingdock.components.configuration import Configuration
-from lacewingdock.components.routing import Plan
+from lacewingdock.components.routing import VersionPlan
 from lacewingdock.core import Daemon
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger
@@ -112,7 +112,7 @@
         request: str,
         name: str,
         workspace: Workspace,
-        plan: Plan,
+        plan: VersionPlan,
         prompt_bytes: int,
         max_tokens: int | None,
     ) -> None:
--- a/lacewingdock/components/callers/relay.py
+++ b/lacewingdock/components/callers/relay.py
@@ -11,10 +11,10 @@
 from lacewingdock.components.membership import Membership
 from lacewingdock.components.quarantine import (
     Quarantine,
-    Verdict,
+    QuarantineVerdict,
     fingerprint_of,
 )
-from lacewingdock.components.quarantine.lost_attempts import Loss
+from lacewingdock.components.quarantine.lost_attempts import LostAttempt
 from lacewingdock.const import RAN_NO, RAN_UNKNOWN
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.clock import MS_PER_S
@@ -107,7 +107,7 @@
             tried.add(upstream.name)
             answer = None
             try:
-                with self.quarantine.sending(fingerprint, upstream):
+                with self.quarantine.track_attempt(fingerprint, upstream):
                     answer = self.answers.ask(upstream, attempt)
                     return answer, self._first(answer)
             except LacewingdockError as error:
@@ -173,9 +173,9 @@
                 self.answers.reattach(answer)
         finally:
             if answer.in_doubt and answer.has_begun:
-                self.quarantine.resolve(answer.attempt.attempt)
+                self.quarantine.resolve_loss(answer.attempt.attempt)
         if answer.finish is not None:
-            self.quarantine.prove(fingerprint_of(answer.attempt))
+            self.quarantine.record_success(fingerprint_of(answer.attempt))
         return pieces
 
     def _doubt(self, answer: Answer, given_up: bool = False) -> None:
@@ -187,14 +187,14 @@
         if answer.has_begun or not attempt.repeatable:
             return
         answer.in_doubt = True
-        loss = Loss(
+        loss = LostAttempt(
             attempt.attempt,
             fingerprint_of(attempt),
             answer.upstream.name,
             answer.sent_to,
             time.monotonic(),
         )
-        self.quarantine.lose(loss, given_up)
+        self.quarantine.record_loss(loss, given_up)
 
     def whole(self, attempt: Attempt) -> tuple[Answer, list[bytes]]:
         """Ask until an upstream has given its whole answer.
@@ -262,7 +262,9 @@
         if error.kind is ErrorKind.OVERLOADED:
             # Another copy of a suspect may be running where this one was
             # refused; a second upstream must not run it meanwhile.
-            return self.quarantine.verdict(fingerprint) is Verdict.CLEAR
+            return (
+                self.quarantine.verdict(fingerprint) is QuarantineVerdict.CLEAR
+            )
         if error.kind not in _ELSEWHERE:
             return False
         return error.ran == RAN_NO or attempt.repeatable
--- a/lacewingdock/components/callers/steps.py
+++ b/lacewingdock/components/callers/steps.py
@@ -17,7 +17,7 @@
     StepChoice,
     class_of,
 )
-from lacewingdock.components.routing import Plan
+from lacewingdock.components.routing import VersionPlan
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.ids import new_id
 from lacewingdock.helpers.log import get_logger
@@ -50,7 +50,7 @@
     workspace: Workspace
     world: World
     revision: int
-    plan: Plan
+    plan: VersionPlan
 
 
 @dataclass(slots=True)
--- a/lacewingdock/components/language/plans.py
+++ b/lacewingdock/components/language/plans.py
@@ -14,7 +14,7 @@
     Unload,
     Word,
 )
-from lacewingdock.components.quarantine.storage import released
+from lacewingdock.components.quarantine.storage import released_value
 from lacewingdock.components.rollouts.commands import (
     begin_rollout,
     begin_unload,
@@ -200,7 +200,7 @@
         COLLECTION_CONFIG,
         stored.name,
         stored.revision,
-        released(value),
+        released_value(value),
         f"{fingerprint.text} of {value['workspace']} may run again",
     )
 
--- a/lacewingdock/components/quarantine/__init__.py
+++ b/lacewingdock/components/quarantine/__init__.py
@@ -26,11 +26,11 @@
     Crash,
     Endangered,
     EvidenceTable,
-    Verdict,
+    QuarantineVerdict,
 )
 from lacewingdock.components.quarantine.fingerprint import fingerprint_of
 from lacewingdock.components.quarantine.loss_publisher import ToldLosses
-from lacewingdock.components.quarantine.lost_attempts import Loss, Losses
+from lacewingdock.components.quarantine.lost_attempts import Losses, LostAttempt
 from lacewingdock.components.quarantine.placement import (
     Placing,
     choose_isolated,
@@ -48,7 +48,7 @@
 from lacewingdock.world.objects import Quarantine as QuarantineItem
 from lacewingdock.world.upstream import Upstream
 
-__all__ = ["Quarantine", "Verdict", "fingerprint_of", "setup"]
+__all__ = ["Quarantine", "QuarantineVerdict", "fingerprint_of", "setup"]
 
 log = get_logger(NAME)
 
@@ -131,12 +131,12 @@
         self.daemon.every(WRITE_S, self._write)
         self.daemon.every(SWEEP_S, self._sweep)
 
-    def verdict(self, fingerprint: str) -> Verdict:
+    def verdict(self, fingerprint: str) -> QuarantineVerdict:
         """Tell what is held of a request now."""
         item = self.configuration.world.quarantines.get(fingerprint)
         is_kept = item is not None and item.state != "released"
         if item is not None and is_kept and item.expires > time.time():
-            return Verdict.QUARANTINED
+            return QuarantineVerdict.QUARANTINED
         released = self._released(fingerprint)
         with self._lock:
             return self.table.get(fingerprint).verdict(released)
@@ -165,14 +165,14 @@
         with self._lock:
             return list(self.table.get(fingerprint).crashes.values())
 
-    def check(self, fingerprint: str) -> Verdict:
+    def check(self, fingerprint: str) -> QuarantineVerdict:
         """Return the verdict unless it is a conviction.
 
         Raises:
             LacewingdockError: QUARANTINED, not run.
         """
         verdict = self.verdict(fingerprint)
-        if verdict is Verdict.QUARANTINED:
+        if verdict is QuarantineVerdict.QUARANTINED:
             self.refused.inc()
             raise LacewingdockError(
                 ErrorKind.QUARANTINED,
@@ -222,7 +222,7 @@
     def _choose(
         self,
         fingerprint: str,
-        verdict: Verdict,
+        verdict: QuarantineVerdict,
         danger: Endangered,
         candidates: list[Upstream],
         tried: Collection[str],
@@ -235,7 +235,7 @@
             if not candidates:
                 return None
             tried = ()
-        if verdict is Verdict.CLEAR:
+        if verdict is QuarantineVerdict.CLEAR:
             linked = [u for u in candidates if u.linked]
             if allowed is not None and not linked:
                 return None
@@ -243,7 +243,7 @@
         # While its host is silent copies may run there, and no other may.
         return choose_isolated(fingerprint, candidates, (), danger.crashed)
 
-    def check_endangered(self, fingerprint: str, instance: str) -> None:
+    def check_blast_radius(self, fingerprint: str, instance: str) -> None:
         """Refuse a request that two other instances are endangered by.
 
         Args:
@@ -259,7 +259,9 @@
             raise _held(f"it endangers {sorted(others)}")
 
     @contextlib.contextmanager
-    def sending(self, fingerprint: str, upstream: Upstream) -> Iterator[None]:
+    def track_attempt(
+        self, fingerprint: str, upstream: Upstream
+    ) -> Iterator[None]:
         """Count an attempt as open for the length of a `with` block.
 
         The evidence goes ahead of a suspect over the same link. News takes
@@ -277,11 +279,11 @@
             self.placing.ended(fingerprint, upstream.name)
             self.told.take_back(fingerprint, upstream.name)
 
-    def prove(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Take note that a request was answered whole."""
-        self.placing.prove(fingerprint)
+        self.placing.record_success(fingerprint)
 
-    def report(
+    def report_crash(
         self, crash: str, isolated: bool, fingerprints: list[str]
     ) -> None:
         """Tell the fleet what was in flight when this upstream crashed."""
@@ -294,7 +296,9 @@
         )
         self._spread(Evidence(crash, isolated, False, fingerprints), None)
 
-    def doubt(self, loss: str, fingerprint: str, is_over: bool) -> None:
+    def report_unresolved(
+        self, loss: str, fingerprint: str, is_over: bool
+    ) -> None:
         """Tell the fleet that this upstream may have crashed, or no longer may.
 
         Args:
@@ -311,9 +315,9 @@
         for crash in self._crashes(fingerprint):
             self._spread(Evidence(crash.id, False, True, [fingerprint]), None)
 
-    def convict(self, attempt: Attempt, fingerprint: str) -> None:
+    def enqueue_quarantine(self, attempt: Attempt, fingerprint: str) -> None:
         """Have a conviction written, if the evidence amounts to one."""
-        if self.verdict(fingerprint) is not Verdict.QUARANTINED:
+        if self.verdict(fingerprint) is not QuarantineVerdict.QUARANTINED:
             return
         with self._lock:
             standing = self.table.get(fingerprint).standing()
@@ -326,7 +330,7 @@
             expires=int(time.time() + QUARANTINE_S),
         )
 
-    def lose(self, loss: Loss, given_up: bool = False) -> None:
+    def record_loss(self, loss: LostAttempt, given_up: bool = False) -> None:
         """Take note that nobody knows what became of an attempt.
 
         Args:
@@ -344,7 +348,7 @@
             )
         self.told.update(loss.fingerprint, self.endangered(loss.fingerprint))
 
-    def resolve(self, attempt: str) -> None:
+    def resolve_loss(self, attempt: str) -> None:
         """Take note that an attempt did not crash its upstream, or is told."""
         loss = self.losses.remove(attempt)
         if loss is None:
--- a/lacewingdock/components/quarantine/crash_detector.py
+++ b/lacewingdock/components/quarantine/crash_detector.py
@@ -36,7 +36,7 @@
     doubt: str = ""
 
 
-class CrashWatch:
+class CrashDetector:
     """What runs on the upstream, and which life of the upstream it is.
 
     A broken connection alone proves no crash: it may have gone silent or
--- a/lacewingdock/components/quarantine/evidence.py
+++ b/lacewingdock/components/quarantine/evidence.py
@@ -21,7 +21,7 @@
 from lacewingdock.links.messages import Evidence
 
 
-class Verdict(StrEnum):
+class QuarantineVerdict(StrEnum):
     """What is held of a fingerprint."""
 
     CLEAR = "clear"
@@ -131,7 +131,7 @@
                 return True
         return False
 
-    def verdict(self, released: Collection[str] = ()) -> Verdict:
+    def verdict(self, released: Collection[str] = ()) -> QuarantineVerdict:
         """Weigh the crashes that still count.
 
         One crash makes a suspect: a healthy request may merely have been in
@@ -141,12 +141,12 @@
         """
         crashes = self.standing(released)
         if not crashes:
-            return Verdict.CLEAR
+            return QuarantineVerdict.CLEAR
         alone = sum(crash.isolated for crash in crashes)
         instances = {crash.instance for crash in crashes}
         if alone >= 2 or (alone == 1 and len(instances) >= 2):
-            return Verdict.QUARANTINED
-        return Verdict.SUSPECT
+            return QuarantineVerdict.QUARANTINED
+        return QuarantineVerdict.SUSPECT
 
 
 def _is_news(known: Crash, evidence: Evidence) -> bool:
@@ -225,7 +225,7 @@
         convictions out of memory.
         """
         for fingerprint, record in self.records.items():
-            if record.verdict() is not Verdict.QUARANTINED:
+            if record.verdict() is not QuarantineVerdict.QUARANTINED:
                 del self.records[fingerprint]
                 return
         del self.records[next(iter(self.records))]
@@ -243,7 +243,7 @@
             if not record.crashes:
                 del self.records[fingerprint]
                 continue
-            convicted = record.verdict() is Verdict.QUARANTINED
+            convicted = record.verdict() is QuarantineVerdict.QUARANTINED
             limit = QUARANTINE_S if convicted else SUSPECT_S
             newest = max(crash.seen for crash in record.crashes.values())
             if now - newest > limit:
--- a/lacewingdock/components/quarantine/loss_resolver.py
+++ b/lacewingdock/components/quarantine/loss_resolver.py
@@ -6,13 +6,13 @@
 from lacewingdock.components.peers import Peers
 from lacewingdock.components.quarantine import Quarantine
 from lacewingdock.components.quarantine.const import ASK_S, LOSS_S
-from lacewingdock.components.quarantine.lost_attempts import Loss
+from lacewingdock.components.quarantine.lost_attempts import LostAttempt
 from lacewingdock.core import Daemon
 from lacewingdock.links.link import Link
 from lacewingdock.links.messages import Cancel, Refusal
 
 
-class Inquiry:
+class LossResolver:
     """Clears up an entry's losses.
 
     A sidecar that was silent is asked again and again until it says that an
@@ -41,14 +41,14 @@
         """Ask once for each attempt that nobody waits for."""
         for loss in self.quarantine.losses.given_up():
             if self._is_over(loss):
-                self.quarantine.resolve(loss.attempt)
+                self.quarantine.resolve_loss(loss.attempt)
                 continue
             upstream = self.membership.upstreams.get(loss.instance)
             link = upstream.link if upstream is not None else None
             if link is not None:
                 link.send(Cancel(loss.attempt, settle=True))
 
-    def _is_over(self, loss: Loss) -> bool:
+    def _is_over(self, loss: LostAttempt) -> bool:
         if time.monotonic() - loss.since > LOSS_S:
             return True
         return self.membership.is_gone(loss.instance, loss.incarnation)
@@ -57,4 +57,4 @@
         loss = self.quarantine.losses.get(message.attempt)
         # A peer may only speak for attempts that were sent to it.
         if loss is not None and loss.instance == link.peer.instance:
-            self.quarantine.resolve(message.attempt)
+            self.quarantine.resolve_loss(message.attempt)
--- a/lacewingdock/components/quarantine/lost_attempts.py
+++ b/lacewingdock/components/quarantine/lost_attempts.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Loss:
+class LostAttempt:
     """One such attempt.
 
     Attributes:
@@ -39,11 +39,11 @@
     def __init__(self) -> None:
         """Start without losses."""
         self._given_up: set[str] = set()
-        self._losses: OrderedDict[str, Loss] = OrderedDict()
+        self._losses: OrderedDict[str, LostAttempt] = OrderedDict()
         self._by_fingerprint: dict[str, set[str]] = {}
         self._lock = threading.Lock()
 
-    def add(self, loss: Loss) -> None:
+    def add(self, loss: LostAttempt) -> None:
         """Take a loss in; beyond the limit the oldest is forgotten."""
         with self._lock:
             self._losses.setdefault(loss.attempt, loss)
@@ -58,12 +58,12 @@
             if attempt in self._losses:
                 self._given_up.add(attempt)
 
-    def remove(self, attempt: str) -> Loss | None:
+    def remove(self, attempt: str) -> LostAttempt | None:
         """Take a loss out; return it if it was there."""
         with self._lock:
             return self._remove_locked(attempt)
 
-    def _remove_locked(self, attempt: str) -> Loss | None:
+    def _remove_locked(self, attempt: str) -> LostAttempt | None:
         loss = self._losses.pop(attempt, None)
         self._given_up.discard(attempt)
         if loss is not None:
@@ -73,11 +73,11 @@
                 del self._by_fingerprint[loss.fingerprint]
         return loss
 
-    def get(self, attempt: str) -> Loss | None:
+    def get(self, attempt: str) -> LostAttempt | None:
         """Find a loss."""
         return self._losses.get(attempt)
 
-    def given_up(self) -> list[Loss]:
+    def given_up(self) -> list[LostAttempt]:
         """Return the losses that nobody waits for, the oldest first."""
         with self._lock:
             return [
@@ -86,7 +86,7 @@
                 if loss.attempt in self._given_up
             ]
 
-    def of(self, fingerprint: str) -> list[Loss]:
+    def of(self, fingerprint: str) -> list[LostAttempt]:
         """Return the losses of a request."""
         with self._lock:
             attempts = self._by_fingerprint.get(fingerprint, ())
--- a/lacewingdock/components/quarantine/placement.py
+++ b/lacewingdock/components/quarantine/placement.py
@@ -98,7 +98,7 @@
         with self._lock:
             return set(+self.open.get(fingerprint, Counter()))
 
-    def prove(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Take note of a whole answer."""
         with self._lock:
             remember(self.proven, fingerprint, None, MAX_PROVEN)
--- a/lacewingdock/components/quarantine/storage.py
+++ b/lacewingdock/components/quarantine/storage.py
@@ -52,13 +52,13 @@
     return store.put(
         COLLECTION_CONFIG,
         key,
-        released(stored.value),
+        released_value(stored.value),
         stored.revision,
         "quarantine",
     ).revision
 
 
-def released(value: Any) -> Any:
+def released_value(value: Any) -> Any:
     """Return a quarantine's value once it is released."""
     found = msgspec.convert(value, Quarantine)
     return msgspec.to_builtins(replace(found, state="released"))
--- a/lacewingdock/components/routing/plan.py
+++ b/lacewingdock/components/routing/plan.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Plan:
+class VersionPlan:
     """The versions to try, in order.
 
     Attributes:
@@ -30,7 +30,7 @@
     name: str,
     session: Session | None,
     source: random.Random,
-) -> Plan:
+) -> VersionPlan:
     """Plan a request.
 
     Args:
@@ -46,14 +46,14 @@
     """
     _check_name(world, workspace, name)
     if session is None or session.name != name:
-        return Plan(name, _steps(world, workspace, name, source))
+        return VersionPlan(name, _steps(world, workspace, name, source))
     # Before the name's own versions are looked at: the session's one may be
     # offered still when no new session would get it, nor any other.
     if session.version in workspace.versions and world.offered(session.version):
-        return Plan(name, [Step(version=session.version)])
+        return VersionPlan(name, [Step(version=session.version)])
     # Withdrawal goes before stickiness; the caller is told in a header.
     steps = _steps(world, workspace, name, source)
-    return Plan(name, steps, moved_from=session.version)
+    return VersionPlan(name, steps, moved_from=session.version)
 
 
 def _check_name(world: World, workspace: Workspace, name: str) -> None:
--- a/lacewingdock/components/runs/__init__.py
+++ b/lacewingdock/components/runs/__init__.py
@@ -14,10 +14,10 @@
 from lacewingdock.components.peers import Peers
 from lacewingdock.components.quarantine import (
     Quarantine,
-    Verdict,
+    QuarantineVerdict,
     fingerprint_of,
 )
-from lacewingdock.components.quarantine.crash_detector import CrashWatch
+from lacewingdock.components.quarantine.crash_detector import CrashDetector
 from lacewingdock.components.runs.shelf import Shelf
 from lacewingdock.components.runs.upstream_call import call_upstream
 from lacewingdock.components.runs.upstream_status import probe_upstream
@@ -108,11 +108,11 @@
         self.configuration = configuration
         self.claims = claims
         self.quarantine = quarantine
-        self.crashes = CrashWatch(
+        self.crashes = CrashDetector(
             settings.instance,
             lambda: probe_upstream(settings.upstream),
             self._on_crash,
-            lambda *doubt: self.quarantine.doubt(*doubt),
+            lambda *doubt: self.quarantine.report_unresolved(*doubt),
         )
         self.not_begun = prometheus_client.Counter(
             "lacewingdock_attempts_not_begun",
@@ -159,7 +159,7 @@
         self, crash: str, isolated: bool, fingerprints: list[str]
     ) -> None:
         """Tell of a crash, and that nothing is served until the next poll."""
-        self.quarantine.report(crash, isolated, fingerprints)
+        self.quarantine.report_crash(crash, isolated, fingerprints)
         self.set_targets([])
 
     def active(self) -> int:
@@ -318,7 +318,9 @@
         fingerprint = fingerprint_of(attempt)
         done = False
         while not done:
-            alone = self.quarantine.check(fingerprint) is Verdict.SUSPECT
+            alone = (
+                self.quarantine.check(fingerprint) is QuarantineVerdict.SUSPECT
+            )
             with self.slots.hold(
                 attempt.priority, run.deadline, alone, run.let_cancel
             ):
@@ -333,7 +335,9 @@
         """
         # A withdrawal or a crash may have become known while this one queued.
         self._check_permitted(run.attempt)
-        suspect = self.quarantine.check(fingerprint) is Verdict.SUSPECT
+        suspect = (
+            self.quarantine.check(fingerprint) is QuarantineVerdict.SUSPECT
+        )
         if run.cancelled.is_set():
             raise LacewingdockError(
                 ErrorKind.DEADLINE, "nobody waits any more", RAN_NO
@@ -342,7 +346,7 @@
             raise self._not_begun(run, "its entry has turned elsewhere")
         if suspect != alone:
             return False
-        self.quarantine.check_endangered(fingerprint, self.settings.instance)
+        self.quarantine.check_blast_radius(fingerprint, self.settings.instance)
         try:
             with self.crashes.call(fingerprint, alone):
                 call_upstream(
@@ -352,7 +356,7 @@
                     is_engine=not self.settings.service,
                 )
         except LacewingdockError:
-            self.quarantine.convict(run.attempt, fingerprint)
+            self.quarantine.enqueue_quarantine(run.attempt, fingerprint)
             raise
         if alone:
             self.quarantine.excuse(fingerprint)
--- a/lacewingdock/daemons/entry.py
+++ b/lacewingdock/daemons/entry.py
@@ -25,7 +25,7 @@
 from lacewingdock.components.exposure import watch
 from lacewingdock.components.exposure.fleet import FleetJudge
 from lacewingdock.components.metrics import entry as metrics
-from lacewingdock.components.quarantine.loss_resolver import Inquiry
+from lacewingdock.components.quarantine.loss_resolver import LossResolver
 from lacewingdock.components.rollouts import emergency
 from lacewingdock.core import Daemon
 from lacewingdock.links.keys import load_keys
@@ -61,7 +61,7 @@
     stops.open = open_answers.open
     stops.on_note.append(seen.add_request)
     suspects = quarantine.setup(daemon, links, config)
-    inquiry = Inquiry(links, members, suspects)
+    loss_resolver = LossResolver(links, members, suspects)
     bills = billing.setup(daemon, links, lambda: members.entries)
     spending = budgets.setup(
         daemon, config, open_answers, lambda: max(members.entries, 1)
@@ -110,5 +110,5 @@
     )
     for component in started:
         component.start()
-    inquiry.start(daemon)
+    loss_resolver.start(daemon)
     return daemon.run(port.active)
--- a/tests/components/admission/test_retry_budget.py
+++ b/tests/components/admission/test_retry_budget.py
@@ -14,7 +14,7 @@
     RetryBudget,
 )
 from lacewingdock.components.callers.relay import MAX_TRIES, Relay
-from lacewingdock.components.quarantine import Verdict
+from lacewingdock.components.quarantine import QuarantineVerdict
 from lacewingdock.const import RAN_NO
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.links.messages import Attempt
@@ -70,8 +70,8 @@
     upstreams = iter(range(10**6))
     quarantine = SimpleNamespace(
         choose=lambda *_: SimpleNamespace(name=str(next(upstreams)), link=None),
-        sending=lambda *_: contextlib.nullcontext(),
-        verdict=lambda _: Verdict.CLEAR,
+        track_attempt=lambda *_: contextlib.nullcontext(),
+        verdict=lambda _: QuarantineVerdict.CLEAR,
     )
     refusing = Refusing(kind)
     members = SimpleNamespace(placeable=lambda _: [], configuration=None)
--- a/tests/components/callers/test_deadlines.py
+++ b/tests/components/callers/test_deadlines.py
@@ -51,7 +51,7 @@
     slow = Slow(monkeypatch, takes_s)
     quarantine = SimpleNamespace(
         choose=lambda *_: SimpleNamespace(name="w", link=None),
-        sending=lambda *_: contextlib.nullcontext(),
+        track_attempt=lambda *_: contextlib.nullcontext(),
     )
     members = SimpleNamespace(placeable=lambda _: [], configuration=None)
     relay = Relay(slow, members, quarantine, random.Random(1))
--- a/tests/components/callers/test_steps.py
+++ b/tests/components/callers/test_steps.py
@@ -9,7 +9,7 @@
 from lacewingdock.components.callers.requests import ChatBody
 from lacewingdock.components.callers.steps import Asked, Steps
 from lacewingdock.components.cascades import Cascades
-from lacewingdock.components.routing import Plan
+from lacewingdock.components.routing import VersionPlan
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.links.messages import Finish
 from lacewingdock.world.objects import Step, Version, Workspace
@@ -67,7 +67,9 @@
         traceparent="",
         left_ms=lambda: 1000,
     )
-    plan = Plan("c", [Step(version="cheap", accept=0.8), Step(version="dear")])
+    plan = VersionPlan(
+        "c", [Step(version="cheap", accept=0.8), Step(version="dear")]
+    )
     workspace = Workspace(keys=[], quality_target=target)
     chat = ChatBody("c", [], True, {})
     asked = Asked(chat, caller, "w", workspace, WORLD, 1, plan)
--- a/tests/components/quarantine/test_crash_watch.py
+++ b/tests/components/quarantine/test_crash_watch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lacewingdock.components.quarantine.crash_detector import CrashWatch
+from lacewingdock.components.quarantine.crash_detector import CrashDetector
 from lacewingdock.exceptions import (
     ErrorKind,
     LacewingdockError,
@@ -31,7 +31,7 @@
 
     def watch(self):
         """Return a watch on this upstream."""
-        return CrashWatch(
+        return CrashDetector(
             "w",
             self.probe,
             lambda *report: self.reports.append(report),
--- a/tests/components/quarantine/test_evidence.py
+++ b/tests/components/quarantine/test_evidence.py
@@ -13,7 +13,10 @@
     QUARANTINE_S,
     SUSPECT_S,
 )
-from lacewingdock.components.quarantine.evidence import EvidenceTable, Verdict
+from lacewingdock.components.quarantine.evidence import (
+    EvidenceTable,
+    QuarantineVerdict,
+)
 from lacewingdock.links.messages import Evidence
 
 NOW = 1_000_000.0
@@ -47,34 +50,43 @@
 @pytest.mark.parametrize(
     ("evidence", "verdict"),
     [
-        ([], Verdict.CLEAR),
-        ([crash("a/1")], Verdict.SUSPECT),
+        ([], QuarantineVerdict.CLEAR),
+        ([crash("a/1")], QuarantineVerdict.SUSPECT),
         # In flight at two crashes, never alone: it may be merely popular.
-        ([crash("a/1"), crash("b/1")], Verdict.SUSPECT),
-        ([crash("a/1"), crash("b/1", isolated=True)], Verdict.QUARANTINED),
-        ([crash("a/1", isolated=True)], Verdict.SUSPECT),
+        ([crash("a/1"), crash("b/1")], QuarantineVerdict.SUSPECT),
+        (
+            [crash("a/1"), crash("b/1", isolated=True)],
+            QuarantineVerdict.QUARANTINED,
+        ),
+        ([crash("a/1", isolated=True)], QuarantineVerdict.SUSPECT),
         # A broken upstream must not convict by itself at the second crash.
-        ([crash("a/1"), crash("a/2", isolated=True)], Verdict.SUSPECT),
+        (
+            [crash("a/1"), crash("a/2", isolated=True)],
+            QuarantineVerdict.SUSPECT,
+        ),
         (
             [
                 crash("a/1"),
                 crash("a/2", isolated=True),
                 crash("a/3", isolated=True),
             ],
-            Verdict.QUARANTINED,
+            QuarantineVerdict.QUARANTINED,
         ),
         # The same crash told twice is one crash.
-        ([crash("a/1"), crash("a/1", isolated=True)], Verdict.SUSPECT),
-        ([crash("a/1"), crash("a/1", excused=True)], Verdict.CLEAR),
+        (
+            [crash("a/1"), crash("a/1", isolated=True)],
+            QuarantineVerdict.SUSPECT,
+        ),
+        ([crash("a/1"), crash("a/1", excused=True)], QuarantineVerdict.CLEAR),
         (
             [
                 crash("a/1"),
                 crash("a/1", excused=True),
                 crash("b/1", isolated=True),
             ],
-            Verdict.SUSPECT,
+            QuarantineVerdict.SUSPECT,
         ),
-        ([crash("a/1", fingerprints=["g"])], Verdict.CLEAR),
+        ([crash("a/1", fingerprints=["g"])], QuarantineVerdict.CLEAR),
     ],
 )
 def test_verdict(evidence, verdict):
@@ -85,10 +97,10 @@
 @pytest.mark.parametrize(
     ("released", "verdict"),
     [
-        ([], Verdict.QUARANTINED),
-        (["a/1"], Verdict.SUSPECT),
-        (["a/1", "b/1"], Verdict.CLEAR),
-        (["x/9"], Verdict.QUARANTINED),
+        ([], QuarantineVerdict.QUARANTINED),
+        (["a/1"], QuarantineVerdict.SUSPECT),
+        (["a/1", "b/1"], QuarantineVerdict.CLEAR),
+        (["x/9"], QuarantineVerdict.QUARANTINED),
     ],
 )
 def test_a_release_excuses_only_the_crashes_that_it_names(released, verdict):
@@ -130,7 +142,7 @@
             for e in evidence
             if e.isolated and fingerprint in e.fingerprints
         }
-        if table.get(fingerprint).verdict() is Verdict.QUARANTINED:
+        if table.get(fingerprint).verdict() is QuarantineVerdict.QUARANTINED:
             assert alone
 
 
@@ -169,7 +181,7 @@
     names = [f"s{i}" for i in range(MAX_RECORDS + 10)]
     table.join(crash("c/1", fingerprints=names), NOW)
     assert len(table.records) == MAX_RECORDS
-    assert table.get("f").verdict() is Verdict.QUARANTINED
+    assert table.get("f").verdict() is QuarantineVerdict.QUARANTINED
     for index in range(20):
         table.join(crash(f"d/{index}"), NOW)
     assert len(table.get("f").crashes) <= 8
--- a/tests/components/quarantine/test_losses.py
+++ b/tests/components/quarantine/test_losses.py
@@ -13,11 +13,11 @@
 from lacewingdock.components.quarantine.evidence import (
     Endangered,
     EvidenceTable,
-    Verdict,
+    QuarantineVerdict,
 )
 from lacewingdock.components.quarantine.loss_publisher import ToldLosses
-from lacewingdock.components.quarantine.loss_resolver import Inquiry
-from lacewingdock.components.quarantine.lost_attempts import Loss, Losses
+from lacewingdock.components.quarantine.loss_resolver import LossResolver
+from lacewingdock.components.quarantine.lost_attempts import Losses, LostAttempt
 from lacewingdock.components.quarantine.placement import Placing
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.links.messages import Cancel, Evidence, Refusal
@@ -50,7 +50,7 @@
 
 
 def loss(instance, attempt="a", fingerprint=F, since=0.0):
-    return Loss(attempt, fingerprint, instance, "i", since)
+    return LostAttempt(attempt, fingerprint, instance, "i", since)
 
 
 @pytest.fixture
@@ -114,7 +114,7 @@
     Cause: an attempt of which nothing is known counted as harmless.
     """
     for index, name in enumerate(lost):
-        quarantine.lose(loss(name, f"a{index}"), given_up=True)
+        quarantine.record_loss(loss(name, f"a{index}"), given_up=True)
     for name in crashed:
         crash(quarantine, name)
     candidates = [upstream(n, linked=n not in silent) for n in NAMES]
@@ -153,10 +153,10 @@
 
 def test_waiting_ends_when_the_silent_one_tells(quarantine, monkeypatch):
     monkeypatch.setattr("lacewingdock.components.quarantine.PATIENCE_S", 5.0)
-    quarantine.lose(loss("w0", "a0"), given_up=True)
-    quarantine.lose(loss("w1", "a1"), given_up=True)
+    quarantine.record_loss(loss("w0", "a0"), given_up=True)
+    quarantine.record_loss(loss("w1", "a1"), given_up=True)
     candidates = [upstream(n, linked=n > "w1") for n in NAMES]
-    threading.Timer(0.1, quarantine.resolve, ["a0"]).start()
+    threading.Timer(0.1, quarantine.resolve_loss, ["a0"]).start()
     start = time.monotonic()
     chosen = quarantine.choose(
         F, candidates, ["w0", "w1"], random.Random(1), start + 10.0
@@ -175,10 +175,10 @@
     Cause: only who sent an attempt knew that nothing came of it.
     """
     if left == "lost":
-        quarantine.lose(loss("w1"), given_up=True)
+        quarantine.record_loss(loss("w1"), given_up=True)
     else:
-        sending = quarantine.sending(F, upstream("w1"))
-        sending.__enter__()
+        track_attempt = quarantine.track_attempt(F, upstream("w1"))
+        track_attempt.__enter__()
     assert not told(quarantine)
     crash(quarantine, "w0")
     unresolved = [e for e in told(quarantine) if e.unresolved]
@@ -188,13 +188,13 @@
         other.join(evidence, time.monotonic())
     assert other.get(F).lost() == {"w1"}
     if left == "lost":
-        quarantine.resolve("a")
+        quarantine.resolve_loss("a")
     else:
-        sending.__exit__(None, None, None)
+        track_attempt.__exit__(None, None, None)
     for evidence in told(quarantine):
         other.join(evidence, time.monotonic())
     assert other.get(F).lost() == set()
-    assert other.get(F).verdict() is Verdict.SUSPECT
+    assert other.get(F).verdict() is QuarantineVerdict.SUSPECT
 
 
 def test_loss_that_is_resolved_while_it_is_told_is_taken_back():
@@ -238,7 +238,9 @@
 def test_harmless_losses_are_not_told(quarantine):
     """Symptom: each pause floods the fleet with news of every request."""
     for index in range(50):
-        quarantine.lose(loss("w0", f"a{index}", f"f{index}"), given_up=True)
+        quarantine.record_loss(
+            loss("w0", f"a{index}", f"f{index}"), given_up=True
+        )
     assert not told(quarantine)
 
 
@@ -263,21 +265,21 @@
         evidence = Evidence(f"{name}/lost-1", False, False, [F], 0, True)
         quarantine._on_evidence(None, evidence)
     if not refused:
-        quarantine.check_endangered(F, "w2")
+        quarantine.check_blast_radius(F, "w2")
         return
     with pytest.raises(LacewingdockError) as caught:
-        quarantine.check_endangered(F, "w2")
+        quarantine.check_blast_radius(F, "w2")
     assert caught.value.ran == "no"
 
 
 @pytest.mark.parametrize(
     ("steps", "verdict", "lost"),
     [
-        (["lost"], Verdict.CLEAR, {"a"}),
-        (["lost", "excused"], Verdict.CLEAR, set()),
-        (["lost", "crashed"], Verdict.SUSPECT, set()),
-        (["excused", "lost"], Verdict.CLEAR, set()),
-        (["crashed", "lost"], Verdict.SUSPECT, set()),
+        (["lost"], QuarantineVerdict.CLEAR, {"a"}),
+        (["lost", "excused"], QuarantineVerdict.CLEAR, set()),
+        (["lost", "crashed"], QuarantineVerdict.SUSPECT, set()),
+        (["excused", "lost"], QuarantineVerdict.CLEAR, set()),
+        (["crashed", "lost"], QuarantineVerdict.SUSPECT, set()),
     ],
 )
 def test_loss_convicts_nobody(steps, verdict, lost):
@@ -298,7 +300,7 @@
     for index in range(quarantine_const.MAX_CRASHES):
         table.join(Evidence(f"l{index}/1", False, False, [F], 0, True), NOW)
     assert table.join(Evidence("w0/1", False, False, [F]), NOW)
-    assert table.get(F).verdict() is Verdict.SUSPECT
+    assert table.get(F).verdict() is QuarantineVerdict.SUSPECT
 
 
 def test_losses_are_forgotten_after_a_while():
@@ -342,14 +344,14 @@
     membership = SimpleNamespace(
         upstreams={"w0": silent}, is_gone=lambda *_: gone
     )
-    inquiry = Inquiry(peers, membership, quarantine)
+    loss_resolver = LossResolver(peers, membership, quarantine)
     lost = loss("w0", since=time.monotonic() - age_s)
-    quarantine.lose(lost)
-    inquiry.ask()
+    quarantine.record_loss(lost)
+    loss_resolver.ask()
     # Its entry still waits for the answer over a new link.
     assert not linked or not silent.link.sent
-    quarantine.lose(lost, given_up=True)
-    inquiry.ask()
+    quarantine.record_loss(lost, given_up=True)
+    loss_resolver.ask()
     if linked:
         assert silent.link.sent == [Cancel("a", settle=True)]
     if refusal_of is not None:
--- a/tests/components/quarantine/test_placing.py
+++ b/tests/components/quarantine/test_placing.py
@@ -110,7 +110,7 @@
     if opened:
         placing.began("f", first.name)
     if proven:
-        placing.prove("f")
+        placing.record_success("f")
     if loaded:
         first.take_news(Status(["v"], 10, 5, 10))
     again = {
--- a/tests/components/quarantine/virtual_fleet.py
+++ b/tests/components/quarantine/virtual_fleet.py
@@ -26,7 +26,7 @@
 from lacewingdock.components.peers import Peers
 from lacewingdock.components.quarantine import crash_detector as crash_module
 from lacewingdock.components.quarantine import loss_publisher as told_module
-from lacewingdock.components.quarantine.loss_resolver import Inquiry
+from lacewingdock.components.quarantine.loss_resolver import LossResolver
 from lacewingdock.const import RAN_NO, RAN_UNKNOWN
 from lacewingdock.exceptions import LacewingdockError, UpstreamLost
 from lacewingdock.helpers import clock as clock_module
@@ -212,9 +212,9 @@
         self.relay = Relay(
             answers, self.members, self.quarantine, self.daemon.random
         )
-        inquiry = Inquiry(self.peers, self.members, self.quarantine)
+        loss_resolver = LossResolver(self.peers, self.members, self.quarantine)
         self.daemon.every(0.2, self.peers.pace)
-        inquiry.start(self.daemon)
+        loss_resolver.start(self.daemon)
 
 
 class Fleet:
--- a/tests/components/runs/test_given_up.py
+++ b/tests/components/runs/test_given_up.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lacewingdock.components import runs as runs_module
-from lacewingdock.components.quarantine import Verdict
+from lacewingdock.components.quarantine import QuarantineVerdict
 from lacewingdock.const import RAN_NO
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.helpers.clock import stamp_ms
@@ -47,7 +47,8 @@
         )
         runs.configuration.loaded.set()
         runs.quarantine = SimpleNamespace(
-            check=lambda _: Verdict.CLEAR, check_endangered=lambda *_: None
+            check=lambda _: QuarantineVerdict.CLEAR,
+            check_blast_radius=lambda *_: None,
         )
         runs.crashes = SimpleNamespace(call=lambda *_: contextlib.nullcontext())
         self.pair.daemon.spawn = lambda *task: self.tasks.append(task)
--- a/tests/components/runs/test_two_gates.py
+++ b/tests/components/runs/test_two_gates.py
@@ -101,11 +101,11 @@
         """Choose any."""
         return choose_upstream(candidates, tried, source)
 
-    def sending(self, *_):
+    def track_attempt(self, *_):
         """Return any context."""
         return threading.Lock()
 
-    def prove(self, _):
+    def record_success(self, _):
         """Take no note."""
 
 
