--- a/lacewingdock/components/engine/__init__.py
+++ b/lacewingdock/components/engine/__init__.py
@@ -51,7 +51,7 @@
         self.failures = 0
         # Once it is gone it may be loaded again by whoever starts the engine.
         self.retired &= set(report.versions)
-        self.runs.crashes.seen(report.incarnation)
+        self.runs.crashes.observe_incarnation(report.incarnation)
         served = (
             [self.service]
             if self.service
--- a/lacewingdock/components/quarantine/__init__.py
+++ b/lacewingdock/components/quarantine/__init__.py
@@ -12,27 +12,30 @@
 from lacewingdock.components.configuration import Configuration
 from lacewingdock.components.peers import Peers
 from lacewingdock.components.quarantine.const import (
-    ASK_S,
-    MAX_ENDANGERED,
+    EVIDENCE_DELAY_S,
+    MAX_BLAST_RADIUS,
+    MAX_WAIT_S,
     NAME,
-    NEWS_S,
-    PATIENCE_S,
-    QUARANTINE_S,
+    QUARANTINE_TTL_S,
+    QUERY_INTERVAL_S,
     RETRY_AFTER_S,
-    SWEEP_S,
-    WRITE_S,
+    SWEEP_INTERVAL_S,
+    WRITE_INTERVAL_S,
 )
 from lacewingdock.components.quarantine.evidence import (
+    BlastRadius,
     Crash,
-    Endangered,
     EvidenceTable,
     QuarantineVerdict,
 )
 from lacewingdock.components.quarantine.fingerprint import fingerprint_of
-from lacewingdock.components.quarantine.loss_publisher import ToldLosses
-from lacewingdock.components.quarantine.lost_attempts import Losses, LostAttempt
+from lacewingdock.components.quarantine.loss_publisher import LossPublisher
+from lacewingdock.components.quarantine.lost_attempts import (
+    LostAttempt,
+    LostAttempts,
+)
 from lacewingdock.components.quarantine.placement import (
-    Placing,
+    Placement,
     choose_isolated,
 )
 from lacewingdock.components.quarantine.storage import (
@@ -78,13 +81,13 @@
         "configuration",
         "crashes",
         "daemon",
-        "losses",
+        "loss_publisher",
+        "lost_attempts",
         "peers",
-        "placing",
+        "pending_writes",
+        "placement",
         "refused",
         "table",
-        "told",
-        "unwritten",
     )
 
     def __init__(
@@ -95,12 +98,14 @@
         self.peers = peers
         self.configuration = configuration
         self.table = EvidenceTable()
-        self.placing = Placing()
-        self.losses = Losses()
-        self.told = ToldLosses(
-            self.losses, self.placing, lambda news: self._spread(news, None)
+        self.placement = Placement()
+        self.lost_attempts = LostAttempts()
+        self.loss_publisher = LossPublisher(
+            self.lost_attempts,
+            self.placement,
+            lambda news: self._broadcast(news, None),
         )
-        self.unwritten: dict[str, QuarantineItem] = {}
+        self.pending_writes: dict[str, QuarantineItem] = {}
         self._lock = threading.Lock()
         self._news = threading.Condition(self._lock)
         self.crashes = prometheus_client.Counter(
@@ -122,14 +127,14 @@
             "lacewingdock_lost_attempts",
             "Attempts of this entry of which a sidecar has not told yet",
             registry=daemon.metrics,
-        ).set_function(lambda: float(len(self.losses.given_up())))
+        ).set_function(lambda: float(len(self.lost_attempts.abandoned())))
         peers.handle(Evidence, self._on_evidence)
         peers.on_open.append(self._on_open)
 
     def start(self) -> None:
         """Start writing convictions and forgetting old evidence."""
-        self.daemon.every(WRITE_S, self._write)
-        self.daemon.every(SWEEP_S, self._sweep)
+        self.daemon.every(WRITE_INTERVAL_S, self._write)
+        self.daemon.every(SWEEP_INTERVAL_S, self._sweep)
 
     def verdict(self, fingerprint: str) -> QuarantineVerdict:
         """Tell what is held of a request now."""
@@ -137,29 +142,31 @@
         is_kept = item is not None and item.state != "released"
         if item is not None and is_kept and item.expires > time.time():
             return QuarantineVerdict.QUARANTINED
-        released = self._released(fingerprint)
+        released = self._released_crashes(fingerprint)
         with self._lock:
             return self.table.get(fingerprint).verdict(released)
 
-    def _released(self, fingerprint: str) -> Collection[str]:
+    def _released_crashes(self, fingerprint: str) -> Collection[str]:
         """Return the crashes that an operator excused a request of."""
         item = self.configuration.world.quarantines.get(fingerprint)
         if item is None or item.state != "released":
             return ()
         return item.crashes
 
-    def endangered(self, fingerprint: str) -> Endangered:
+    def blast_radius(self, fingerprint: str) -> BlastRadius:
         """Return the instances that a request crashed or may have."""
-        released = self._released(fingerprint)
+        released = self._released_crashes(fingerprint)
         with self._lock:
             record = self.table.get(fingerprint)
-            crashes = record.standing(released)
-            lost = record.lost() | self.losses.instances(fingerprint)
+            crashes = record.counted_crashes(released)
+            lost = record.unresolved_instances() | self.lost_attempts.instances(
+                fingerprint
+            )
         if crashes:
-            lost |= self.placing.instances(fingerprint)
+            lost |= self.placement.instances(fingerprint)
         crashed = {crash.instance for crash in crashes}
-        crashed_at = max((crash.seen for crash in crashes), default=0.0)
-        return Endangered(crashed, lost - crashed, crashed_at)
+        crashed_at = max((crash.first_seen for crash in crashes), default=0.0)
+        return BlastRadius(crashed, lost - crashed, crashed_at)
 
     def _crashes(self, fingerprint: str) -> list[Crash]:
         with self._lock:
@@ -186,7 +193,7 @@
         fingerprint: str,
         candidates: list[Upstream],
         tried: Collection[str],
-        source: random.Random,
+        rng: random.Random,
         deadline: float,
     ) -> Upstream:
         """Choose the upstream for a request; waits for one that is silent.
@@ -195,41 +202,41 @@
             fingerprint: The request.
             candidates: Upstreams that serve it, silent ones too.
             tried: Names of those that refused it before.
-            source: Source of draws.
+            rng: Source of draws.
             deadline: Monotonic time after which nobody waits.
 
         Raises:
             LacewingdockError: QUARANTINED or NO_UPSTREAM, not run.
         """
-        end = min(deadline, time.monotonic() + PATIENCE_S)
+        end = min(deadline, time.monotonic() + MAX_WAIT_S)
         while True:
             verdict = self.check(fingerprint)
-            danger = self.endangered(fingerprint)
+            radius = self.blast_radius(fingerprint)
             chosen = self._choose(
-                fingerprint, verdict, danger, candidates, tried, source
+                fingerprint, verdict, radius, candidates, tried, rng
             )
             now = time.monotonic()
             # Other entries may have copies where this one has none.
-            is_news_due = now < danger.crashed_at + NEWS_S
+            is_news_due = now < radius.crashed_at + EVIDENCE_DELAY_S
             if chosen is not None and chosen.linked and not is_news_due:
                 return chosen
             if now >= end:
-                where = sorted(danger.crashed | danger.lost)
-                raise _held(f"not run elsewhere before {where} tell")
+                where = sorted(radius.crashed | radius.lost)
+                raise _not_placeable(f"not run elsewhere before {where} tell")
             with self._news:
-                self._news.wait(min(end - now, ASK_S))
+                self._news.wait(min(end - now, QUERY_INTERVAL_S))
 
     def _choose(
         self,
         fingerprint: str,
         verdict: QuarantineVerdict,
-        danger: Endangered,
+        radius: BlastRadius,
         candidates: list[Upstream],
         tried: Collection[str],
-        source: random.Random,
+        rng: random.Random,
     ) -> Upstream | None:
         """Choose as things stand; None when all it may go to are away."""
-        allowed = danger.allowed()
+        allowed = radius.allowed()
         if allowed is not None:
             candidates = [u for u in candidates if u.name in allowed]
             if not candidates:
@@ -239,9 +246,9 @@
             linked = [u for u in candidates if u.linked]
             if allowed is not None and not linked:
                 return None
-            return self.placing.choose(fingerprint, linked, tried, source)
+            return self.placement.choose(fingerprint, linked, tried, rng)
         # While its host is silent copies may run there, and no other may.
-        return choose_isolated(fingerprint, candidates, (), danger.crashed)
+        return choose_isolated(fingerprint, candidates, (), radius.crashed)
 
     def check_blast_radius(self, fingerprint: str, instance: str) -> None:
         """Refuse a request that two other instances are endangered by.
@@ -253,10 +260,10 @@
         Raises:
             LacewingdockError: NO_UPSTREAM, not run.
         """
-        danger = self.endangered(fingerprint)
-        others = (danger.crashed | danger.lost) - {instance}
-        if len(others) >= MAX_ENDANGERED:
-            raise _held(f"it endangers {sorted(others)}")
+        radius = self.blast_radius(fingerprint)
+        others = (radius.crashed | radius.lost) - {instance}
+        if len(others) >= MAX_BLAST_RADIUS:
+            raise _not_placeable(f"it endangers {sorted(others)}")
 
     @contextlib.contextmanager
     def track_attempt(
@@ -268,7 +275,7 @@
         its time to reach every peer, and a sidecar that has not heard would
         run the suspect among others: the crash would prove nothing.
         """
-        self.placing.began(fingerprint, upstream.name)
+        self.placement.attempt_started(fingerprint, upstream.name)
         link = upstream.link
         for crash in self._crashes(fingerprint) if link else ():
             assert link is not None
@@ -276,12 +283,12 @@
         try:
             yield
         finally:
-            self.placing.ended(fingerprint, upstream.name)
-            self.told.take_back(fingerprint, upstream.name)
+            self.placement.attempt_ended(fingerprint, upstream.name)
+            self.loss_publisher.retract(fingerprint, upstream.name)
 
     def record_success(self, fingerprint: str) -> None:
         """Take note that a request was answered whole."""
-        self.placing.record_success(fingerprint)
+        self.placement.record_success(fingerprint)
 
     def report_crash(
         self, crash: str, isolated: bool, fingerprints: list[str]
@@ -294,7 +301,7 @@
             isolated=isolated,
             fingerprints=fingerprints,
         )
-        self._spread(Evidence(crash, isolated, False, fingerprints), None)
+        self._broadcast(Evidence(crash, isolated, False, fingerprints), None)
 
     def report_unresolved(
         self, loss: str, fingerprint: str, is_over: bool
@@ -306,51 +313,55 @@
             fingerprint: The request that was lost.
             is_over: Whether a crash was told, or there was none.
         """
-        self._spread(
+        self._broadcast(
             Evidence(loss, False, is_over, [fingerprint], 0, True), None
         )
 
     def excuse(self, fingerprint: str) -> None:
         """Take note that a suspect ran alone and nothing crashed."""
         for crash in self._crashes(fingerprint):
-            self._spread(Evidence(crash.id, False, True, [fingerprint]), None)
+            self._broadcast(
+                Evidence(crash.id, False, True, [fingerprint]), None
+            )
 
     def enqueue_quarantine(self, attempt: Attempt, fingerprint: str) -> None:
         """Have a conviction written, if the evidence amounts to one."""
         if self.verdict(fingerprint) is not QuarantineVerdict.QUARANTINED:
             return
         with self._lock:
-            standing = self.table.get(fingerprint).standing()
-        crashes = sorted(crash.id for crash in standing)
-        self.unwritten[fingerprint] = QuarantineItem(
+            counted_crashes = self.table.get(fingerprint).counted_crashes()
+        crashes = sorted(crash.id for crash in counted_crashes)
+        self.pending_writes[fingerprint] = QuarantineItem(
             workspace=attempt.workspace,
             target=attempt.target,
             reason=f"crashed {len(crashes)} upstreams, the last one alone",
             crashes=crashes,
-            expires=int(time.time() + QUARANTINE_S),
+            expires=int(time.time() + QUARANTINE_TTL_S),
         )
 
-    def record_loss(self, loss: LostAttempt, given_up: bool = False) -> None:
+    def record_loss(self, loss: LostAttempt, abandoned: bool = False) -> None:
         """Take note that nobody knows what became of an attempt.
 
         Args:
             loss: The attempt.
             given_up: Whether its entry has turned elsewhere.
         """
-        self.losses.add(loss)
-        if given_up:
-            self.losses.give_up(loss.attempt)
+        self.lost_attempts.add(loss)
+        if abandoned:
+            self.lost_attempts.abandon(loss.attempt)
             log.info(
                 "attempt lost",
                 attempt_id=loss.attempt,
                 upstream=loss.instance,
                 fingerprint=loss.fingerprint,
             )
-        self.told.update(loss.fingerprint, self.endangered(loss.fingerprint))
+        self.loss_publisher.update(
+            loss.fingerprint, self.blast_radius(loss.fingerprint)
+        )
 
     def resolve_loss(self, attempt: str) -> None:
         """Take note that an attempt did not crash its upstream, or is told."""
-        loss = self.losses.remove(attempt)
+        loss = self.lost_attempts.remove(attempt)
         if loss is None:
             return
         log.info(
@@ -359,11 +370,11 @@
             upstream=loss.instance,
             age_s=round(time.monotonic() - loss.since, 2),
         )
-        self.told.take_back(loss.fingerprint, loss.instance)
+        self.loss_publisher.retract(loss.fingerprint, loss.instance)
         with self._news:
             self._news.notify_all()
 
-    def _spread(self, evidence: Evidence, source: Link | None) -> None:
+    def _broadcast(self, evidence: Evidence, sender: Link | None) -> None:
         """Take evidence in; what was news goes on to every other link.
 
         Entries have links only to sidecars and the other way round, so news
@@ -371,23 +382,25 @@
         platform is down.
         """
         with self._lock:
-            news = self.table.join(evidence, time.monotonic())
+            news = self.table.merge(evidence, time.monotonic())
         if not news:
             return
         if not evidence.unresolved:
-            self.placing.doubt(news)
+            self.placement.clear_successes(news)
         evidence = replace(evidence, fingerprints=news)
         for link in tuple(self.peers.links):
-            if link is not source:
+            if link is not sender:
                 link.send(evidence)
         with self._news:
             self._news.notify_all()
         for fingerprint in news:
-            if self.told.own(fingerprint):
-                self.told.update(fingerprint, self.endangered(fingerprint))
+            if self.loss_publisher.own_instances(fingerprint):
+                self.loss_publisher.update(
+                    fingerprint, self.blast_radius(fingerprint)
+                )
 
     def _on_evidence(self, link: Link, message: Evidence) -> None:
-        self._spread(message, link)
+        self._broadcast(message, link)
 
     def _on_open(self, link: Link) -> None:
         with self._lock:
@@ -397,13 +410,13 @@
 
     def _write(self) -> None:
         """Write convictions; what fails stays for the next round."""
-        for fingerprint, item in tuple(self.unwritten.items()):
+        for fingerprint, item in tuple(self.pending_writes.items()):
             try:
                 write_quarantine(self.daemon.store, fingerprint, item)
             except LacewingdockError as error:
                 log.warning("quarantine not written", error=error.detail)
                 return
-            del self.unwritten[fingerprint]
+            del self.pending_writes[fingerprint]
             # The few that write also clear away, so the configuration does
             # not grow for good and nobody has to hold a lease for it.
             with contextlib.suppress(LacewingdockError):
@@ -417,7 +430,7 @@
         """Nothing is held beyond the daemon's tasks."""
 
 
-def _held(detail: str) -> LacewingdockError:
+def _not_placeable(detail: str) -> LacewingdockError:
     return LacewingdockError(
         ErrorKind.NO_UPSTREAM, detail, RAN_NO, RETRY_AFTER_S
     )
--- a/lacewingdock/components/quarantine/crash_detector.py
+++ b/lacewingdock/components/quarantine/crash_detector.py
@@ -19,9 +19,9 @@
 # when nothing listens at its port; raises when it can't be told.
 Probe = Callable[[], str | None]
 # Takes the crash's id, whether the request ran alone, and the fingerprints.
-Report = Callable[[str, bool, list[str]], None]
+CrashCallback = Callable[[str, bool, list[str]], None]
 # Takes an id, the request's fingerprint and whether the doubt is over.
-Doubt = Callable[[str, str, bool], None]
+UnresolvedCallback = Callable[[str, str, bool], None]
 
 _UNKNOWN: Final = None
 
@@ -33,7 +33,7 @@
     fingerprint: str
     alone: bool
     era: str
-    doubt: str = ""
+    loss_id: str = ""
 
 
 class CrashDetector:
@@ -55,31 +55,35 @@
 
     __slots__ = (
         "_calls",
-        "_judging",
+        "_check_lock",
         "_lock",
-        "_undecided",
-        "doubt",
+        "_unresolved",
         "era",
         "incarnation",
         "instance",
+        "on_crash",
+        "on_unresolved",
         "probe",
-        "report",
     )
 
     def __init__(
-        self, instance: str, probe: Probe, report: Report, doubt: Doubt
+        self,
+        instance: str,
+        probe: Probe,
+        on_crash: CrashCallback,
+        on_unresolved: UnresolvedCallback,
     ) -> None:
         """Start without knowing the upstream."""
         self.instance = instance
         self.probe = probe
-        self.report = report
-        self.doubt = doubt
+        self.on_crash = on_crash
+        self.on_unresolved = on_unresolved
         self.incarnation: str | None = _UNKNOWN
         self.era = new_id()
         self._calls: set[_Call] = set()
-        self._undecided: set[_Call] = set()
+        self._unresolved: set[_Call] = set()
         self._lock = threading.Lock()
-        self._judging = threading.Lock()
+        self._check_lock = threading.Lock()
 
     @contextlib.contextmanager
     def call(self, fingerprint: str, alone: bool) -> Iterator[None]:
@@ -90,7 +94,7 @@
                 is known to have crashed and is not back.
         """
         if self.incarnation is _UNKNOWN:
-            self._learn()
+            self._read_incarnation()
         call = _Call(fingerprint, alone, self.era)
         with self._lock:
             self._calls.add(call)
@@ -105,25 +109,25 @@
             # Before the refusal goes out: over the same link, the evidence
             # arrives first. An entry that has only the refusal would send
             # another copy to the next upstream, as if nothing were known.
-            self._judge(call)
+            self._check_upstream(call)
             raise
         finally:
             with self._lock:
                 self._calls.discard(call)
 
-    def seen(self, incarnation: str) -> None:
+    def observe_incarnation(self, incarnation: str) -> None:
         """Take the incarnation that a regular poll was answered with."""
         if self.incarnation is _UNKNOWN:
             self.incarnation = incarnation
         elif self.incarnation != incarnation:
-            with self._judging:
-                self._crashed(self.era, incarnation)
-        elif self._undecided:
-            with self._judging:
-                self._decide(self.era, incarnation)
-
-    def _learn(self) -> None:
-        with self._judging:
+            with self._check_lock:
+                self._record_crash(self.era, incarnation)
+        elif self._unresolved:
+            with self._check_lock:
+                self._apply_incarnation(self.era, incarnation)
+
+    def _read_incarnation(self) -> None:
+        with self._check_lock:
             if self.incarnation is not _UNKNOWN:
                 return
             incarnation = self.probe()
@@ -135,8 +139,8 @@
                 )
             self.incarnation = incarnation
 
-    def _judge(self, call: _Call) -> None:
-        with self._judging:
+    def _check_upstream(self, call: _Call) -> None:
+        with self._check_lock:
             if call.era != self.era:
                 # Another call that failed at the same crash told it already.
                 return
@@ -144,45 +148,45 @@
                 incarnation = self.probe()
             except LacewingdockError as error:
                 log.warning("crash not told", error=error.detail)
-                self._put_in_doubt(call)
+                self._mark_unresolved(call)
                 return
-            self._decide(call.era, incarnation)
+            self._apply_incarnation(call.era, incarnation)
 
-    def _decide(self, era: str, incarnation: str | None) -> None:
+    def _apply_incarnation(self, era: str, incarnation: str | None) -> None:
         if incarnation is None or incarnation != self.incarnation:
-            self._crashed(era, incarnation)
+            self._record_crash(era, incarnation)
         else:
-            self._end_doubts()
+            self._resolve_all()
 
-    def _put_in_doubt(self, call: _Call) -> None:
+    def _mark_unresolved(self, call: _Call) -> None:
         """Keep a lost call until it is known whether it was a crash.
 
         What hangs now may be the upstream's next start, which does not answer
         yet. Unsaid, the entry would send the request to another upstream as
         if nothing had happened.
         """
-        call.doubt = f"{self.instance}/lost-{new_id()}"
+        call.loss_id = f"{self.instance}/lost-{new_id()}"
         with self._lock:
-            self._undecided.add(call)
-        self.doubt(call.doubt, call.fingerprint, False)
+            self._unresolved.add(call)
+        self.on_unresolved(call.loss_id, call.fingerprint, False)
 
-    def _end_doubts(self) -> None:
+    def _resolve_all(self) -> None:
         with self._lock:
-            decided, self._undecided = self._undecided, set()
+            decided, self._unresolved = self._unresolved, set()
         for call in decided:
-            self.doubt(call.doubt, call.fingerprint, True)
+            self.on_unresolved(call.loss_id, call.fingerprint, True)
 
-    def _crashed(self, era: str, incarnation: str | None) -> None:
+    def _record_crash(self, era: str, incarnation: str | None) -> None:
         """Report the crash that ended an era, and begin another."""
         with self._lock:
             if era != self.era:
                 return
             self.era = new_id()
             self.incarnation = incarnation
-            calls = self._calls | self._undecided
-            struck = [call for call in calls if call.era == era]
-        if struck:
-            alone = len(struck) == 1 and struck[0].alone
-            fingerprints = sorted({call.fingerprint for call in struck})
-            self.report(f"{self.instance}/{era}", alone, fingerprints)
-        self._end_doubts()
+            calls = self._calls | self._unresolved
+            in_flight = [call for call in calls if call.era == era]
+        if in_flight:
+            alone = len(in_flight) == 1 and in_flight[0].alone
+            fingerprints = sorted({call.fingerprint for call in in_flight})
+            self.on_crash(f"{self.instance}/{era}", alone, fingerprints)
+        self._resolve_all()
--- a/lacewingdock/components/quarantine/evidence.py
+++ b/lacewingdock/components/quarantine/evidence.py
@@ -10,12 +10,12 @@
 from enum import StrEnum
 
 from lacewingdock.components.quarantine.const import (
-    LOSS_S,
+    LOSS_TTL_S,
+    MAX_BLAST_RADIUS,
     MAX_CRASHES,
-    MAX_ENDANGERED,
     MAX_RECORDS,
-    QUARANTINE_S,
-    SUSPECT_S,
+    QUARANTINE_TTL_S,
+    SUSPECT_TTL_S,
 )
 from lacewingdock.helpers.clock import MS_PER_S
 from lacewingdock.links.messages import Evidence
@@ -43,7 +43,7 @@
 
     id: str
     isolated: bool
-    seen: float
+    first_seen: float
     excused: bool = False
     unresolved: bool = False
 
@@ -64,13 +64,13 @@
             self.isolated,
             self.excused,
             fingerprints,
-            max(0, int((now - self.seen) * MS_PER_S)),
+            max(0, int((now - self.first_seen) * MS_PER_S)),
             self.unresolved,
         )
 
 
 @dataclass(slots=True, frozen=True)
-class Endangered:
+class BlastRadius:
     """The instances that a request is a danger to.
 
     Attributes:
@@ -90,13 +90,13 @@
         which nothing is known, if there is any: its answer tells more than
         another crash where it crashed before.
         """
-        if len(self.crashed | self.lost) < MAX_ENDANGERED:
+        if len(self.crashed | self.lost) < MAX_BLAST_RADIUS:
             return None
         return self.lost or self.crashed
 
 
 @dataclass(slots=True)
-class Record:
+class EvidenceRecord:
     """The evidence of one fingerprint.
 
     Attributes:
@@ -105,7 +105,7 @@
 
     crashes: dict[str, Crash] = field(default_factory=dict)
 
-    def standing(self, released: Collection[str] = ()) -> list[Crash]:
+    def counted_crashes(self, released: Collection[str] = ()) -> list[Crash]:
         """Return the crashes that still count."""
         return [
             crash
@@ -113,7 +113,7 @@
             if not (crash.excused or crash.unresolved or crash.id in released)
         ]
 
-    def lost(self) -> set[str]:
+    def unresolved_instances(self) -> set[str]:
         """Return the instances of which it is not known if they crashed."""
         return {
             crash.instance
@@ -139,7 +139,7 @@
         on another instance than before; on the same instance it takes two
         alone, because a broken upstream crashes whatever it runs.
         """
-        crashes = self.standing(released)
+        crashes = self.counted_crashes(released)
         if not crashes:
             return QuarantineVerdict.CLEAR
         alone = sum(crash.isolated for crash in crashes)
@@ -149,7 +149,7 @@
         return QuarantineVerdict.SUSPECT
 
 
-def _is_news(known: Crash, evidence: Evidence) -> bool:
+def _adds_evidence(known: Crash, evidence: Evidence) -> bool:
     """Tell whether evidence says more of a crash than is known."""
     return (
         (evidence.isolated and not known.isolated)
@@ -169,9 +169,9 @@
 
     def __init__(self) -> None:
         """Start without evidence."""
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, EvidenceRecord] = {}
 
-    def join(self, evidence: Evidence, now: float) -> list[str]:
+    def merge(self, evidence: Evidence, now: float) -> list[str]:
         """Take evidence in.
 
         Args:
@@ -181,23 +181,23 @@
         Returns:
             The fingerprints that it was news for.
         """
-        seen = now - evidence.age_ms / MS_PER_S
-        limit = LOSS_S if evidence.unresolved else QUARANTINE_S
-        if now - seen > limit:
+        first_seen = now - evidence.age_ms / MS_PER_S
+        limit = LOSS_TTL_S if evidence.unresolved else QUARANTINE_TTL_S
+        if now - first_seen > limit:
             return []
         news = [
             fingerprint
             for fingerprint in evidence.fingerprints
-            if self._join_one(fingerprint, evidence, seen)
+            if self._merge_one(fingerprint, evidence, first_seen)
         ]
         while len(self.records) > MAX_RECORDS:
             self._evict()
         return news
 
-    def _join_one(
-        self, fingerprint: str, evidence: Evidence, seen: float
+    def _merge_one(
+        self, fingerprint: str, evidence: Evidence, first_seen: float
     ) -> bool:
-        record = self.records.get(fingerprint) or Record()
+        record = self.records.get(fingerprint) or EvidenceRecord()
         known = record.crashes.get(evidence.crash)
         if known is None:
             if not record.make_room():
@@ -205,11 +205,11 @@
             known = Crash(
                 evidence.crash,
                 evidence.isolated,
-                seen,
+                first_seen,
                 unresolved=evidence.unresolved,
             )
             record.crashes[evidence.crash] = known
-        elif not _is_news(known, evidence):
+        elif not _adds_evidence(known, evidence):
             return False
         known.isolated = known.isolated or evidence.isolated
         known.excused = known.excused or evidence.excused
@@ -230,22 +230,22 @@
                 return
         del self.records[next(iter(self.records))]
 
-    def get(self, fingerprint: str) -> Record:
+    def get(self, fingerprint: str) -> EvidenceRecord:
         """Return the evidence of a fingerprint; empty when there is none."""
-        return self.records.get(fingerprint) or Record()
+        return self.records.get(fingerprint) or EvidenceRecord()
 
     def sweep(self, now: float) -> None:
         """Forget what is too old to count."""
         for fingerprint, record in tuple(self.records.items()):
             for crash in tuple(record.crashes.values()):
-                if crash.unresolved and now - crash.seen > LOSS_S:
+                if crash.unresolved and now - crash.first_seen > LOSS_TTL_S:
                     del record.crashes[crash.id]
             if not record.crashes:
                 del self.records[fingerprint]
                 continue
             convicted = record.verdict() is QuarantineVerdict.QUARANTINED
-            limit = QUARANTINE_S if convicted else SUSPECT_S
-            newest = max(crash.seen for crash in record.crashes.values())
+            limit = QUARANTINE_TTL_S if convicted else SUSPECT_TTL_S
+            newest = max(crash.first_seen for crash in record.crashes.values())
             if now - newest > limit:
                 del self.records[fingerprint]
 
--- a/lacewingdock/components/quarantine/loss_publisher.py
+++ b/lacewingdock/components/quarantine/loss_publisher.py
@@ -3,14 +3,14 @@
 import threading
 from collections.abc import Callable
 
-from lacewingdock.components.quarantine.evidence import Endangered
-from lacewingdock.components.quarantine.lost_attempts import Losses
-from lacewingdock.components.quarantine.placement import Placing
+from lacewingdock.components.quarantine.evidence import BlastRadius
+from lacewingdock.components.quarantine.lost_attempts import LostAttempts
+from lacewingdock.components.quarantine.placement import Placement
 from lacewingdock.helpers.ids import new_id
 from lacewingdock.links.messages import Evidence
 
 
-class ToldLosses:
+class LossPublisher:
     """What the fleet was told of an entry's losses.
 
     A single loss moves a request on, whoever knows of it; so most losses at a
@@ -23,44 +23,51 @@
         spread: Takes evidence in and passes it on.
     """
 
-    __slots__ = ("_ids", "_lock", "losses", "placing", "spread")
+    __slots__ = ("_ids", "_lock", "broadcast", "lost_attempts", "placement")
 
     def __init__(
         self,
-        losses: Losses,
-        placing: Placing,
-        spread: Callable[[Evidence], None],
+        lost_attempts: LostAttempts,
+        placement: Placement,
+        broadcast: Callable[[Evidence], None],
     ) -> None:
         """Start with nothing told."""
-        self.losses = losses
-        self.placing = placing
-        self.spread = spread
+        self.lost_attempts = lost_attempts
+        self.placement = placement
+        self.broadcast = broadcast
         self._ids: dict[tuple[str, str], str] = {}
         self._lock = threading.Lock()
 
-    def own(self, fingerprint: str) -> set[str]:
+    def own_instances(self, fingerprint: str) -> set[str]:
         """Return where this entry has attempts that may still crash."""
-        lost = self.losses.instances(fingerprint)
-        return lost | self.placing.instances(fingerprint)
+        lost = self.lost_attempts.instances(fingerprint)
+        return lost | self.placement.instances(fingerprint)
 
-    def update(self, fingerprint: str, danger: Endangered) -> None:
+    def update(self, fingerprint: str, radius: BlastRadius) -> None:
         """Tell of a request's losses here if it is at its limit."""
-        if danger.allowed() is None:
+        if radius.allowed() is None:
             return
-        for instance in sorted(danger.lost & self.own(fingerprint)):
-            told = f"{instance}/lost-{new_id()}"
+        for instance in sorted(radius.lost & self.own_instances(fingerprint)):
+            loss_id = f"{instance}/lost-{new_id()}"
             with self._lock:
-                if self._ids.setdefault((fingerprint, instance), told) != told:
+                if (
+                    self._ids.setdefault((fingerprint, instance), loss_id)
+                    != loss_id
+                ):
                     continue
-            self.spread(Evidence(told, False, False, [fingerprint], 0, True))
+            self.broadcast(
+                Evidence(loss_id, False, False, [fingerprint], 0, True)
+            )
             # It may have been resolved before there was anything to take back.
-            self.take_back(fingerprint, instance)
+            self.retract(fingerprint, instance)
 
-    def take_back(self, fingerprint: str, instance: str) -> None:
+    def retract(self, fingerprint: str, instance: str) -> None:
         """Tell that nothing of this entry is in doubt there any more."""
-        if instance in self.own(fingerprint):
+        if instance in self.own_instances(fingerprint):
             return
         with self._lock:
-            told = self._ids.pop((fingerprint, instance), None)
-        if told is not None:
-            self.spread(Evidence(told, False, True, [fingerprint], 0, True))
+            loss_id = self._ids.pop((fingerprint, instance), None)
+        if loss_id is not None:
+            self.broadcast(
+                Evidence(loss_id, False, True, [fingerprint], 0, True)
+            )
--- a/lacewingdock/components/quarantine/loss_resolver.py
+++ b/lacewingdock/components/quarantine/loss_resolver.py
@@ -5,7 +5,10 @@
 from lacewingdock.components.membership import Membership
 from lacewingdock.components.peers import Peers
 from lacewingdock.components.quarantine import Quarantine
-from lacewingdock.components.quarantine.const import ASK_S, LOSS_S
+from lacewingdock.components.quarantine.const import (
+    LOSS_TTL_S,
+    QUERY_INTERVAL_S,
+)
 from lacewingdock.components.quarantine.lost_attempts import LostAttempt
 from lacewingdock.core import Daemon
 from lacewingdock.links.link import Link
@@ -35,12 +38,12 @@
 
     def start(self, daemon: Daemon) -> None:
         """Start asking."""
-        daemon.every(ASK_S, self.ask)
+        daemon.every(QUERY_INTERVAL_S, self.send_queries)
 
-    def ask(self) -> None:
+    def send_queries(self) -> None:
         """Ask once for each attempt that nobody waits for."""
-        for loss in self.quarantine.losses.given_up():
-            if self._is_over(loss):
+        for loss in self.quarantine.lost_attempts.abandoned():
+            if self._is_obsolete(loss):
                 self.quarantine.resolve_loss(loss.attempt)
                 continue
             upstream = self.membership.upstreams.get(loss.instance)
@@ -48,13 +51,13 @@
             if link is not None:
                 link.send(Cancel(loss.attempt, settle=True))
 
-    def _is_over(self, loss: LostAttempt) -> bool:
-        if time.monotonic() - loss.since > LOSS_S:
+    def _is_obsolete(self, loss: LostAttempt) -> bool:
+        if time.monotonic() - loss.since > LOSS_TTL_S:
             return True
         return self.membership.is_gone(loss.instance, loss.incarnation)
 
     def _on_refusal(self, link: Link, message: Refusal) -> None:
-        loss = self.quarantine.losses.get(message.attempt)
+        loss = self.quarantine.lost_attempts.get(message.attempt)
         # A peer may only speak for attempts that were sent to it.
         if loss is not None and loss.instance == link.peer.instance:
             self.quarantine.resolve_loss(message.attempt)
--- a/lacewingdock/components/quarantine/lost_attempts.py
+++ b/lacewingdock/components/quarantine/lost_attempts.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from lacewingdock.components.quarantine.const import MAX_LOSSES
+from lacewingdock.components.quarantine.const import MAX_LOST_ATTEMPTS
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,14 +31,14 @@
     since: float
 
 
-class Losses:
+class LostAttempts:
     """The lost attempts of an entry, by id, the oldest first."""
 
-    __slots__ = ("_by_fingerprint", "_given_up", "_lock", "_losses")
+    __slots__ = ("_abandoned", "_by_fingerprint", "_lock", "_losses")
 
     def __init__(self) -> None:
         """Start without losses."""
-        self._given_up: set[str] = set()
+        self._abandoned: set[str] = set()
         self._losses: OrderedDict[str, LostAttempt] = OrderedDict()
         self._by_fingerprint: dict[str, set[str]] = {}
         self._lock = threading.Lock()
@@ -49,14 +49,14 @@
             self._losses.setdefault(loss.attempt, loss)
             attempts = self._by_fingerprint.setdefault(loss.fingerprint, set())
             attempts.add(loss.attempt)
-            if len(self._losses) > MAX_LOSSES:
+            if len(self._losses) > MAX_LOST_ATTEMPTS:
                 self._remove_locked(next(iter(self._losses)))
 
-    def give_up(self, attempt: str) -> None:
+    def abandon(self, attempt: str) -> None:
         """Take note that its entry has turned elsewhere."""
         with self._lock:
             if attempt in self._losses:
-                self._given_up.add(attempt)
+                self._abandoned.add(attempt)
 
     def remove(self, attempt: str) -> LostAttempt | None:
         """Take a loss out; return it if it was there."""
@@ -65,7 +65,7 @@
 
     def _remove_locked(self, attempt: str) -> LostAttempt | None:
         loss = self._losses.pop(attempt, None)
-        self._given_up.discard(attempt)
+        self._abandoned.discard(attempt)
         if loss is not None:
             attempts = self._by_fingerprint[loss.fingerprint]
             attempts.discard(attempt)
@@ -77,16 +77,16 @@
         """Find a loss."""
         return self._losses.get(attempt)
 
-    def given_up(self) -> list[LostAttempt]:
+    def abandoned(self) -> list[LostAttempt]:
         """Return the losses that nobody waits for, the oldest first."""
         with self._lock:
             return [
                 loss
                 for loss in self._losses.values()
-                if loss.attempt in self._given_up
+                if loss.attempt in self._abandoned
             ]
 
-    def of(self, fingerprint: str) -> list[LostAttempt]:
+    def for_fingerprint(self, fingerprint: str) -> list[LostAttempt]:
         """Return the losses of a request."""
         with self._lock:
             attempts = self._by_fingerprint.get(fingerprint, ())
@@ -94,4 +94,4 @@
 
     def instances(self, fingerprint: str) -> set[str]:
         """Return the instances at which a request is lost."""
-        return {loss.instance for loss in self.of(fingerprint)}
+        return {loss.instance for loss in self.for_fingerprint(fingerprint)}
--- a/lacewingdock/components/quarantine/placement.py
+++ b/lacewingdock/components/quarantine/placement.py
@@ -7,9 +7,9 @@
 from collections.abc import Collection
 
 from lacewingdock.components.quarantine.const import (
-    ISOLATION_PART,
-    MAX_PROVEN,
-    SPILL,
+    MAX_EXCESS_LOAD,
+    MAX_ISOLATION_SHARE,
+    MAX_SUCCEEDED,
 )
 from lacewingdock.components.routing.choice import choose_upstream
 from lacewingdock.const import RAN_NO
@@ -32,7 +32,7 @@
     )
 
 
-class Placing:
+class Placement:
     """Chooses upstreams so that copies of one request meet.
 
     Before the first crash nobody knows that a request is bad. Copies sent at
@@ -45,12 +45,12 @@
             such care and go where the load is least.
     """
 
-    __slots__ = ("_lock", "open", "proven")
+    __slots__ = ("_lock", "pending", "succeeded")
 
     def __init__(self) -> None:
         """Start with nothing seen."""
-        self.open: dict[str, Counter[str]] = {}
-        self.proven: dict[str, None] = {}
+        self.pending: dict[str, Counter[str]] = {}
+        self.succeeded: dict[str, None] = {}
         self._lock = threading.Lock()
 
     def choose(
@@ -58,56 +58,56 @@
         fingerprint: str,
         candidates: list[Upstream],
         tried: Collection[str],
-        source: random.Random,
+        rng: random.Random,
     ) -> Upstream:
         """Choose the upstream for a request that is not suspect.
 
         Raises:
             LacewingdockError: NO_UPSTREAM, not run.
         """
-        fresh = [u for u in candidates if u.name not in tried]
-        if not fresh or fingerprint in self.proven:
-            return choose_upstream(candidates, tried, source)
-        twins = self.open.get(fingerprint)
-        for upstream in fresh if twins else ():
-            if twins and twins[upstream.name] > 0:
+        untried = [u for u in candidates if u.name not in tried]
+        if not untried or fingerprint in self.succeeded:
+            return choose_upstream(candidates, tried, rng)
+        copies = self.pending.get(fingerprint)
+        for upstream in untried if copies else ():
+            if copies and copies[upstream.name] > 0:
                 return upstream
-        first = rank(fingerprint, fresh)[0]
-        mean = sum(u.load() for u in fresh) / len(fresh)
-        if first.load() <= mean + SPILL:
+        first = rank(fingerprint, untried)[0]
+        mean = sum(u.load() for u in untried) / len(untried)
+        if first.load() <= mean + MAX_EXCESS_LOAD:
             return first
-        return choose_upstream(candidates, tried, source)
+        return choose_upstream(candidates, tried, rng)
 
-    def began(self, fingerprint: str, upstream: str) -> None:
+    def attempt_started(self, fingerprint: str, upstream: str) -> None:
         """Count an attempt that goes out."""
         with self._lock:
-            self.open.setdefault(fingerprint, Counter())[upstream] += 1
+            self.pending.setdefault(fingerprint, Counter())[upstream] += 1
 
-    def ended(self, fingerprint: str, upstream: str) -> None:
+    def attempt_ended(self, fingerprint: str, upstream: str) -> None:
         """Count an attempt that began to be answered or was refused."""
         with self._lock:
-            twins = self.open.get(fingerprint)
-            if twins is None:
+            copies = self.pending.get(fingerprint)
+            if copies is None:
                 return
-            twins[upstream] -= 1
-            if not +twins:
-                del self.open[fingerprint]
+            copies[upstream] -= 1
+            if not +copies:
+                del self.pending[fingerprint]
 
     def instances(self, fingerprint: str) -> set[str]:
         """Return where a request has attempts without an answer."""
         with self._lock:
-            return set(+self.open.get(fingerprint, Counter()))
+            return set(+self.pending.get(fingerprint, Counter()))
 
     def record_success(self, fingerprint: str) -> None:
         """Take note of a whole answer."""
         with self._lock:
-            remember(self.proven, fingerprint, None, MAX_PROVEN)
+            remember(self.succeeded, fingerprint, None, MAX_SUCCEEDED)
 
-    def doubt(self, fingerprints: Collection[str]) -> None:
+    def clear_successes(self, fingerprints: Collection[str]) -> None:
         """Forget that requests were answered whole."""
         with self._lock:
             for fingerprint in fingerprints:
-                self.proven.pop(fingerprint, None)
+                self.succeeded.pop(fingerprint, None)
 
 
 def choose_isolated(
@@ -133,12 +133,12 @@
     Raises:
         LacewingdockError: NO_UPSTREAM, not run.
     """
-    fresh = [u for u in candidates if u.name not in tried]
-    if not fresh:
+    untried = [u for u in candidates if u.name not in tried]
+    if not untried:
         raise LacewingdockError(
             ErrorKind.NO_UPSTREAM, "no upstream can run it alone now", RAN_NO
         )
-    sound = [u for u in fresh if u.name not in crashed] or fresh
+    sound = [u for u in untried if u.name not in crashed] or untried
     hosts = rank("isolation", sound)
-    hosts = hosts[: max(1, int(len(sound) * ISOLATION_PART))]
+    hosts = hosts[: max(1, int(len(sound) * MAX_ISOLATION_SHARE))]
     return rank(fingerprint, hosts)[0]
--- a/lacewingdock/components/quarantine/storage.py
+++ b/lacewingdock/components/quarantine/storage.py
@@ -60,12 +60,12 @@
 
 def released_value(value: Any) -> Any:
     """Return a quarantine's value once it is released."""
-    found = msgspec.convert(value, Quarantine)
-    return msgspec.to_builtins(replace(found, state="released"))
+    item = msgspec.convert(value, Quarantine)
+    return msgspec.to_builtins(replace(item, state="released"))
 
 
 def write_quarantine(
-    store: ObjectStore, fingerprint: str, found: Quarantine
+    store: ObjectStore, fingerprint: str, item: Quarantine
 ) -> None:
     """Keep a conviction in the platform, so that it outlives every daemon.
 
@@ -79,15 +79,15 @@
     key = PREFIX + fingerprint
     stored = store.get(COLLECTION_CONFIG, key, "quarantine")
     if stored.value is not None:
-        known = msgspec.convert(stored.value, Quarantine)
-        if set(found.crashes) <= set(known.crashes):
+        stored_item = msgspec.convert(stored.value, Quarantine)
+        if set(item.crashes) <= set(stored_item.crashes):
             return
-        crashes = sorted({*known.crashes, *found.crashes})
-        found = replace(found, crashes=crashes)
+        crashes = sorted({*stored_item.crashes, *item.crashes})
+        item = replace(item, crashes=crashes)
     store.put(
         COLLECTION_CONFIG,
         key,
-        msgspec.to_builtins(found),
+        msgspec.to_builtins(item),
         stored.revision,
         "quarantine",
     )
--- a/lacewingdock/components/routing/choice.py
+++ b/lacewingdock/components/routing/choice.py
@@ -11,22 +11,22 @@
 def choose_upstream(
     candidates: list[Upstream],
     tried: Collection[str],
-    source: random.Random,
+    rng: random.Random,
 ) -> Upstream:
     """Choose the less loaded of two upstreams drawn at random.
 
     Args:
         candidates: Upstreams that may take the request.
         tried: Names of those that refused it before; a last resort only.
-        source: Source of the draw.
+        rng: Source of the draw.
 
     Raises:
         LacewingdockError: NO_UPSTREAM, not run.
     """
-    fresh = [u for u in candidates if u.name not in tried]
-    if not fresh:
+    untried = [u for u in candidates if u.name not in tried]
+    if not untried:
         raise LacewingdockError(
             ErrorKind.NO_UPSTREAM, "no upstream can take it now", RAN_NO
         )
-    drawn = source.sample(fresh, min(2, len(fresh)))
+    drawn = rng.sample(untried, min(2, len(untried)))
     return min(drawn, key=lambda upstream: upstream.load())
--- a/lacewingdock/components/routing/plan.py
+++ b/lacewingdock/components/routing/plan.py
@@ -29,7 +29,7 @@
     workspace: Workspace,
     name: str,
     session: Session | None,
-    source: random.Random,
+    rng: random.Random,
 ) -> VersionPlan:
     """Plan a request.
 
@@ -38,7 +38,7 @@
         workspace: The caller's workspace.
         name: Model, cascade or version asked for.
         session: The caller's session, if it has one.
-        source: Source of the draw among a model's versions.
+        rng: Source of the draw among a model's versions.
 
     Raises:
         LacewingdockError: UNKNOWN_MODEL, MODEL_NOT_ALLOWED or
@@ -46,13 +46,13 @@
     """
     _check_name(world, workspace, name)
     if session is None or session.name != name:
-        return VersionPlan(name, _steps(world, workspace, name, source))
+        return VersionPlan(name, _resolve_steps(world, workspace, name, rng))
     # Before the name's own versions are looked at: the session's one may be
     # offered still when no new session would get it, nor any other.
     if session.version in workspace.versions and world.offered(session.version):
         return VersionPlan(name, [Step(version=session.version)])
     # Withdrawal goes before stickiness; the caller is told in a header.
-    steps = _steps(world, workspace, name, source)
+    steps = _resolve_steps(world, workspace, name, rng)
     return VersionPlan(name, steps, moved_from=session.version)
 
 
@@ -70,27 +70,27 @@
     )
 
 
-def _steps(
-    world: World, workspace: Workspace, name: str, source: random.Random
+def _resolve_steps(
+    world: World, workspace: Workspace, name: str, rng: random.Random
 ) -> list[Step]:
     """Return the steps of a name that the workspace allows now."""
     if name in world.versions and name in workspace.versions:
-        return _offered(world, name, [Step(version=name)])
+        return _offered_steps(world, name, [Step(version=name)])
     match world.cascades.get(name) or world.models.get(name):
         case Cascade(steps=steps):
             allowed = [s for s in steps if s.version in workspace.versions]
         case Model(shares=shares):
-            allowed = _draw(world, workspace, shares, source)
+            allowed = _draw_version(world, workspace, shares, rng)
         case _:
             raise LacewingdockError(ErrorKind.UNKNOWN_MODEL, f"model {name!r}")
     if not allowed:
         raise LacewingdockError(
             ErrorKind.MODEL_NOT_ALLOWED, f"no version of {name!r} is allowed"
         )
-    return _offered(world, name, allowed)
+    return _offered_steps(world, name, allowed)
 
 
-def _offered(world: World, name: str, steps: list[Step]) -> list[Step]:
+def _offered_steps(world: World, name: str, steps: list[Step]) -> list[Step]:
     offered = [step for step in steps if world.offered(step.version)]
     if not offered:
         raise LacewingdockError(
@@ -99,11 +99,11 @@
     return offered
 
 
-def _draw(
+def _draw_version(
     world: World,
     workspace: Workspace,
     shares: dict[str, float],
-    source: random.Random,
+    rng: random.Random,
 ) -> list[Step]:
     """Draw one version by the shares, among those allowed and offered."""
     allowed = {v: s for v, s in shares.items() if v in workspace.versions}
@@ -112,5 +112,5 @@
     if not candidates:
         return []
     weights = [share or 1e-9 for share in candidates.values()]
-    (version,) = source.choices(list(candidates), weights)
+    (version,) = rng.choices(list(candidates), weights)
     return [Step(version=version)]
--- a/lacewingdock/components/sessions/__init__.py
+++ b/lacewingdock/components/sessions/__init__.py
@@ -11,7 +11,7 @@
 from lacewingdock.helpers.json import decode_json
 from lacewingdock.links.keys import KeyRing
 
-LABEL: Final = b"lacewingdock session"
+SIGNATURE_LABEL: Final = b"lacewingdock session"
 MAX_TOKEN_CHARS: Final = 1024
 
 
@@ -35,7 +35,7 @@
 def sign_session(session: Session, keys: KeyRing) -> str:
     """Return a signed token of a session."""
     payload = msgspec.json.encode(session)
-    key_id, mac = keys.sign(LABEL, payload)
+    key_id, mac = keys.sign(SIGNATURE_LABEL, payload)
     parts = (payload, key_id.encode(), mac)
     return ".".join(base64.urlsafe_b64encode(p).decode() for p in parts)
 
@@ -57,7 +57,7 @@
         payload, key_id, mac = (
             base64.urlsafe_b64decode(part) for part in token.split(".")
         )
-        if not keys.verify(key_id.decode(), mac, LABEL, payload):
+        if not keys.verify(key_id.decode(), mac, SIGNATURE_LABEL, payload):
             raise ValueError("not genuine")
         session = decode_json(payload, Session)
     except (ValueError, binascii.Error, msgspec.DecodeError) as error:
--- a/tests/components/quarantine/test_crash_watch.py
+++ b/tests/components/quarantine/test_crash_watch.py
@@ -134,10 +134,10 @@
     """
     upstream = FakeUpstream("one")
     watch = upstream.watch()
-    watch.seen("one")
+    watch.observe_incarnation("one")
     with watch.call("f", False):
-        watch.seen("two")
-        watch.seen("two")
+        watch.observe_incarnation("two")
+        watch.observe_incarnation("two")
     assert [r[2] for r in upstream.reports] == [["f"]]
 
 
@@ -157,7 +157,7 @@
     assert upstream.doubts == [("f", False)]
     assert not upstream.reports
     if seen_by == "poll":
-        watch.seen(later)
+        watch.observe_incarnation(later)
     else:
         with contextlib.suppress(UpstreamLost), watch.call("g", False):
             raise UpstreamLost("reset")
@@ -167,5 +167,5 @@
         assert "f" in fingerprints
         assert isolated is (seen_by == "poll")
     # What is decided is not told with a later crash.
-    watch.seen("three")
+    watch.observe_incarnation("three")
     assert len(upstream.reports) == crashes
--- a/tests/components/quarantine/test_evidence.py
+++ b/tests/components/quarantine/test_evidence.py
@@ -10,8 +10,8 @@
 
 from lacewingdock.components.quarantine.const import (
     MAX_RECORDS,
-    QUARANTINE_S,
-    SUSPECT_S,
+    QUARANTINE_TTL_S,
+    SUSPECT_TTL_S,
 )
 from lacewingdock.components.quarantine.evidence import (
     EvidenceTable,
@@ -43,7 +43,7 @@
 def table_of(evidence):
     table = EvidenceTable()
     for one in evidence:
-        table.join(one, NOW)
+        table.merge(one, NOW)
     return table
 
 
@@ -117,7 +117,10 @@
     for fingerprint in "fgh":
         verdicts = {t.get(fingerprint).verdict() for t in (first, second)}
         assert len(verdicts) == 1
-        assert first.get(fingerprint).lost() == second.get(fingerprint).lost()
+        assert (
+            first.get(fingerprint).unresolved_instances()
+            == second.get(fingerprint).unresolved_instances()
+        )
 
 
 @CHECKED
@@ -151,18 +154,18 @@
 def test_only_news_is_passed_on(evidence):
     """News that went on for ever would circle between the daemons."""
     table = table_of(evidence)
-    assert not any(table.join(one, NOW) for one in evidence)
+    assert not any(table.merge(one, NOW) for one in evidence)
 
 
 @pytest.mark.parametrize(
     ("evidence", "after_s", "left"),
     [
-        ([crash("a/1")], SUSPECT_S - 1, 1),
-        ([crash("a/1")], SUSPECT_S + 1, 0),
-        ([crash("a/1", age=SUSPECT_S)], 1, 0),
-        ([crash("a/1"), crash("b/1", isolated=True)], SUSPECT_S + 1, 1),
-        ([crash("a/1"), crash("b/1", isolated=True)], QUARANTINE_S + 1, 0),
-        ([crash("a/1", age=QUARANTINE_S + 1)], 0, 0),
+        ([crash("a/1")], SUSPECT_TTL_S - 1, 1),
+        ([crash("a/1")], SUSPECT_TTL_S + 1, 0),
+        ([crash("a/1", age=SUSPECT_TTL_S)], 1, 0),
+        ([crash("a/1"), crash("b/1", isolated=True)], SUSPECT_TTL_S + 1, 1),
+        ([crash("a/1"), crash("b/1", isolated=True)], QUARANTINE_TTL_S + 1, 0),
+        ([crash("a/1", age=QUARANTINE_TTL_S + 1)], 0, 0),
     ],
 )
 def test_expiry(evidence, after_s, left):
@@ -179,9 +182,9 @@
     """
     table = table_of([crash("a/1"), crash("b/1", isolated=True)])
     names = [f"s{i}" for i in range(MAX_RECORDS + 10)]
-    table.join(crash("c/1", fingerprints=names), NOW)
+    table.merge(crash("c/1", fingerprints=names), NOW)
     assert len(table.records) == MAX_RECORDS
     assert table.get("f").verdict() is QuarantineVerdict.QUARANTINED
     for index in range(20):
-        table.join(crash(f"d/{index}"), NOW)
+        table.merge(crash(f"d/{index}"), NOW)
     assert len(table.get("f").crashes) <= 8
--- a/tests/components/quarantine/test_losses.py
+++ b/tests/components/quarantine/test_losses.py
@@ -11,14 +11,17 @@
 from lacewingdock.components.quarantine import Quarantine
 from lacewingdock.components.quarantine import const as quarantine_const
 from lacewingdock.components.quarantine.evidence import (
-    Endangered,
+    BlastRadius,
     EvidenceTable,
     QuarantineVerdict,
 )
-from lacewingdock.components.quarantine.loss_publisher import ToldLosses
+from lacewingdock.components.quarantine.loss_publisher import LossPublisher
 from lacewingdock.components.quarantine.loss_resolver import LossResolver
-from lacewingdock.components.quarantine.lost_attempts import Losses, LostAttempt
-from lacewingdock.components.quarantine.placement import Placing
+from lacewingdock.components.quarantine.lost_attempts import (
+    LostAttempt,
+    LostAttempts,
+)
+from lacewingdock.components.quarantine.placement import Placement
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.links.messages import Cancel, Evidence, Refusal
 from tests.components.quarantine.common import upstream as bare_upstream
@@ -56,7 +59,7 @@
 @pytest.fixture
 def quarantine(monkeypatch):
     """Of an entry that waits neither for news nor for silent sidecars."""
-    for name in ("PATIENCE_S", "NEWS_S"):
+    for name in ("MAX_WAIT_S", "EVIDENCE_DELAY_S"):
         monkeypatch.setattr(f"lacewingdock.components.quarantine.{name}", 0.0)
     links = {FakeLink("w0"), FakeLink("w1")}
     peers = SimpleNamespace(
@@ -114,7 +117,7 @@
     Cause: an attempt of which nothing is known counted as harmless.
     """
     for index, name in enumerate(lost):
-        quarantine.record_loss(loss(name, f"a{index}"), given_up=True)
+        quarantine.record_loss(loss(name, f"a{index}"), abandoned=True)
     for name in crashed:
         crash(quarantine, name)
     candidates = [upstream(n, linked=n not in silent) for n in NAMES]
@@ -152,9 +155,9 @@
 
 
 def test_waiting_ends_when_the_silent_one_tells(quarantine, monkeypatch):
-    monkeypatch.setattr("lacewingdock.components.quarantine.PATIENCE_S", 5.0)
-    quarantine.record_loss(loss("w0", "a0"), given_up=True)
-    quarantine.record_loss(loss("w1", "a1"), given_up=True)
+    monkeypatch.setattr("lacewingdock.components.quarantine.MAX_WAIT_S", 5.0)
+    quarantine.record_loss(loss("w0", "a0"), abandoned=True)
+    quarantine.record_loss(loss("w1", "a1"), abandoned=True)
     candidates = [upstream(n, linked=n > "w1") for n in NAMES]
     threading.Timer(0.1, quarantine.resolve_loss, ["a0"]).start()
     start = time.monotonic()
@@ -175,7 +178,7 @@
     Cause: only who sent an attempt knew that nothing came of it.
     """
     if left == "lost":
-        quarantine.record_loss(loss("w1"), given_up=True)
+        quarantine.record_loss(loss("w1"), abandoned=True)
     else:
         track_attempt = quarantine.track_attempt(F, upstream("w1"))
         track_attempt.__enter__()
@@ -185,15 +188,15 @@
     assert [e.crash.partition("/")[0] for e in unresolved] == ["w1"]
     other = EvidenceTable()
     for evidence in told(quarantine):
-        other.join(evidence, time.monotonic())
-    assert other.get(F).lost() == {"w1"}
+        other.merge(evidence, time.monotonic())
+    assert other.get(F).unresolved_instances() == {"w1"}
     if left == "lost":
         quarantine.resolve_loss("a")
     else:
         track_attempt.__exit__(None, None, None)
     for evidence in told(quarantine):
-        other.join(evidence, time.monotonic())
-    assert other.get(F).lost() == set()
+        other.merge(evidence, time.monotonic())
+    assert other.get(F).unresolved_instances() == set()
     assert other.get(F).verdict() is QuarantineVerdict.SUSPECT
 
 
@@ -204,33 +207,33 @@
     Events: an entry tells of a loss in one task, another task resolves it.
     Cause: when it was resolved there was nothing told yet to take back.
     """
-    losses, told = Losses(), []
+    lost_attempts, told = LostAttempts(), []
 
-    def spread(evidence):
+    def broadcast(evidence):
         told.append(evidence.excused)
-        losses.remove("a")
+        lost_attempts.remove("a")
 
-    losses.add(loss("w1"))
-    news = ToldLosses(losses, Placing(), spread)
-    news.update(F, Endangered({"w0"}, {"w1"}, 0.0))
+    lost_attempts.add(loss("w1"))
+    news = LossPublisher(lost_attempts, Placement(), broadcast)
+    news.update(F, BlastRadius({"w0"}, {"w1"}, 0.0))
     assert told == [False, True]
 
 
 def test_loss_is_told_once_by_two_tasks():
     """Symptom: the first of two ids of one loss is never taken back."""
-    losses, told = Losses(), []
+    lost_attempts, told = LostAttempts(), []
 
-    def spread(evidence):
+    def broadcast(evidence):
         told.append(evidence.crash)
         if len(told) == 1:
-            news.update(F, danger)
-
-    losses.add(loss("w1"))
-    danger = Endangered({"w0"}, {"w1"}, 0.0)
-    news = ToldLosses(losses, Placing(), spread)
-    news.update(F, danger)
-    losses.remove("a")
-    news.take_back(F, "w1")
+            news.update(F, radius)
+
+    lost_attempts.add(loss("w1"))
+    radius = BlastRadius({"w0"}, {"w1"}, 0.0)
+    news = LossPublisher(lost_attempts, Placement(), broadcast)
+    news.update(F, radius)
+    lost_attempts.remove("a")
+    news.retract(F, "w1")
     assert len(told) == 2
     assert len(set(told)) == 1
 
@@ -239,7 +242,7 @@
     """Symptom: each pause floods the fleet with news of every request."""
     for index in range(50):
         quarantine.record_loss(
-            loss("w0", f"a{index}", f"f{index}"), given_up=True
+            loss("w0", f"a{index}", f"f{index}"), abandoned=True
         )
     assert not told(quarantine)
 
@@ -290,38 +293,42 @@
     }
     table = EvidenceTable()
     for step in steps:
-        table.join(kinds[step], NOW)
+        table.merge(kinds[step], NOW)
     assert table.get(F).verdict() is verdict
-    assert table.get(F).lost() == lost
+    assert table.get(F).unresolved_instances() == lost
 
 
 def test_losses_leave_room_for_crashes():
     table = EvidenceTable()
     for index in range(quarantine_const.MAX_CRASHES):
-        table.join(Evidence(f"l{index}/1", False, False, [F], 0, True), NOW)
-    assert table.join(Evidence("w0/1", False, False, [F]), NOW)
+        table.merge(Evidence(f"l{index}/1", False, False, [F], 0, True), NOW)
+    assert table.merge(Evidence("w0/1", False, False, [F]), NOW)
     assert table.get(F).verdict() is QuarantineVerdict.SUSPECT
 
 
 def test_losses_are_forgotten_after_a_while():
     table = EvidenceTable()
-    table.join(Evidence("w0/1", False, False, [F], 0, True), NOW)
-    table.sweep(NOW + quarantine_const.LOSS_S + 1)
+    table.merge(Evidence("w0/1", False, False, [F], 0, True), NOW)
+    table.sweep(NOW + quarantine_const.LOSS_TTL_S + 1)
     assert not table.records
-    late = int((quarantine_const.LOSS_S + 1) * 1000)
-    assert not table.join(Evidence("w0/1", False, False, [F], late, True), NOW)
+    late = int((quarantine_const.LOSS_TTL_S + 1) * 1000)
+    assert not table.merge(Evidence("w0/1", False, False, [F], late, True), NOW)
 
 
 def test_losses_are_bounded(monkeypatch):
     monkeypatch.setattr(
-        "lacewingdock.components.quarantine.lost_attempts.MAX_LOSSES", 3
+        "lacewingdock.components.quarantine.lost_attempts.MAX_LOST_ATTEMPTS", 3
     )
-    losses = Losses()
+    lost_attempts = LostAttempts()
     for index in range(5):
-        losses.add(loss("w0", f"a{index}", f"f{index}"))
-        losses.give_up(f"a{index}")
-    assert [one.attempt for one in losses.given_up()] == ["a2", "a3", "a4"]
-    assert not losses.instances("f0")
+        lost_attempts.add(loss("w0", f"a{index}", f"f{index}"))
+        lost_attempts.abandon(f"a{index}")
+    assert [one.attempt for one in lost_attempts.abandoned()] == [
+        "a2",
+        "a3",
+        "a4",
+    ]
+    assert not lost_attempts.instances("f0")
 
 
 @pytest.mark.parametrize(
@@ -347,14 +354,14 @@
     loss_resolver = LossResolver(peers, membership, quarantine)
     lost = loss("w0", since=time.monotonic() - age_s)
     quarantine.record_loss(lost)
-    loss_resolver.ask()
+    loss_resolver.send_queries()
     # Its entry still waits for the answer over a new link.
     assert not linked or not silent.link.sent
-    quarantine.record_loss(lost, given_up=True)
-    loss_resolver.ask()
+    quarantine.record_loss(lost, abandoned=True)
+    loss_resolver.send_queries()
     if linked:
         assert silent.link.sent == [Cancel("a", settle=True)]
     if refusal_of is not None:
         link = FakeLink(refusal_of)
         handlers[0](link, Refusal("a", "no_upstream", "no", ""))
-    assert bool(quarantine.losses.instances(F)) is left
+    assert bool(quarantine.lost_attempts.instances(F)) is left
--- a/tests/components/quarantine/test_placing.py
+++ b/tests/components/quarantine/test_placing.py
@@ -8,7 +8,7 @@
 
 from lacewingdock.components.quarantine import fingerprint_of
 from lacewingdock.components.quarantine.placement import (
-    Placing,
+    Placement,
     choose_isolated,
 )
 from lacewingdock.exceptions import LacewingdockError
@@ -60,7 +60,7 @@
     """Copies come through entries that drew their random numbers apart."""
     shuffled = source.sample(names, len(names))
     chosen = {
-        Placing()
+        Placement()
         .choose(fingerprint, [upstream(n) for n in order], (), source)
         .name
         for order in (names, shuffled)
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(
-    ("opened", "proven", "loaded", "stays"),
+    ("opened", "succeeded", "loaded", "stays"),
     [
         (False, False, False, True),
         (False, False, True, False),
@@ -103,31 +103,33 @@
         (True, True, True, False),
     ],
 )
-def test_when_a_copy_goes_to_the_same_upstream(opened, proven, loaded, stays):
-    placing, source = Placing(), random.Random(1)
+def test_when_a_copy_goes_to_the_same_upstream(
+    opened, succeeded, loaded, stays
+):
+    placement, source = Placement(), random.Random(1)
     candidates = [upstream(n) for n in NAMES]
-    first = placing.choose("f", candidates, (), source)
+    first = placement.choose("f", candidates, (), source)
     if opened:
-        placing.began("f", first.name)
-    if proven:
-        placing.record_success("f")
+        placement.attempt_started("f", first.name)
+    if succeeded:
+        placement.record_success("f")
     if loaded:
         first.take_news(Status(["v"], 10, 5, 10))
     again = {
-        placing.choose("f", candidates, (), source).name for _ in range(20)
+        placement.choose("f", candidates, (), source).name for _ in range(20)
     }
     assert (again == {first.name}) is stays
 
 
 def test_open_copies_are_forgotten_at_their_end():
-    placing = Placing()
-    placing.began("f", "worker-0")
-    placing.began("f", "worker-0")
-    placing.ended("f", "worker-0")
-    assert placing.open
-    placing.ended("f", "worker-0")
-    placing.ended("f", "worker-0")
-    assert not placing.open
+    placement = Placement()
+    placement.attempt_started("f", "worker-0")
+    placement.attempt_started("f", "worker-0")
+    placement.attempt_ended("f", "worker-0")
+    assert placement.pending
+    placement.attempt_ended("f", "worker-0")
+    placement.attempt_ended("f", "worker-0")
+    assert not placement.pending
 
 
 def test_no_upstream_is_a_refusal():
--- a/tests/components/quarantine/virtual_fleet.py
+++ b/tests/components/quarantine/virtual_fleet.py
@@ -24,8 +24,10 @@
 from lacewingdock.components.answers import answer as answer_module
 from lacewingdock.components.callers.relay import Relay
 from lacewingdock.components.peers import Peers
-from lacewingdock.components.quarantine import crash_detector as crash_module
-from lacewingdock.components.quarantine import loss_publisher as told_module
+from lacewingdock.components.quarantine import crash_detector as detector_module
+from lacewingdock.components.quarantine import (
+    loss_publisher as publisher_module,
+)
 from lacewingdock.components.quarantine.loss_resolver import LossResolver
 from lacewingdock.const import RAN_NO, RAN_UNKNOWN
 from lacewingdock.exceptions import LacewingdockError, UpstreamLost
@@ -191,7 +193,7 @@
     def poll(self):
         """Ask the engine for its state, as the sidecar does."""
         if self.engine.alive:
-            self.runs.crashes.seen(self.engine.probe())
+            self.runs.crashes.observe_incarnation(self.engine.probe())
             self.runs.set_targets([TARGET])
 
 
@@ -300,8 +302,8 @@
         numbers = itertools.count()
         for module in (
             answers_module,
-            crash_module,
-            told_module,
+            detector_module,
+            publisher_module,
         ):
             monkeypatch.setattr(module, "new_id", lambda: f"n{next(numbers)}")
         monkeypatch.setattr(runs_module, "call_upstream", self._call)
