--- a/lacewingdock/components/quarantine/__init__.py
+++ b/lacewingdock/components/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Support for keeping requests that crash upstreams away from them."""
+"""Support for quarantining poison requests, which crash upstreams."""
 
 import contextlib
 import random
@@ -57,22 +57,22 @@
 
 
 class Quarantine:
-    """What this daemon knows of requests that were in flight at crashes.
+    """Evidence and quarantines of requests that were in flight at crashes.
 
-    Evidence goes over links at once, so it works while the platform is down;
-    a conviction is written to the platform's configuration too, so it
-    reaches daemons that start later.
+    Evidence is sent over links at once, so it spreads while the platform is
+    down. A quarantine is also written to the platform's configuration, from
+    which daemons that start later read it.
 
     Attributes:
         daemon: The daemon.
-        peers: The links.
-        configuration: Brings the quarantines that the platform keeps.
-        table: The evidence.
-        placing: Where copies of a request go, on an entry.
-        losses: Attempts of this entry of which nothing is known.
-        told: What the fleet was told of them.
-        unwritten: Convictions that this daemon proved and the platform has
-            not taken yet, by fingerprint.
+        peers: The links to other daemons.
+        configuration: Holds the quarantines stored in the platform.
+        table: The evidence by fingerprint.
+        placement: Chooses upstreams for copies of a request, on an entry.
+        lost_attempts: Attempts of this entry whose outcome is unknown.
+        loss_publisher: Publishes lost and pending attempts to the peers.
+        pending_writes: Quarantines that this daemon decided on and has not
+            written to the platform yet, by fingerprint.
     """
 
     __slots__ = (
@@ -93,7 +93,7 @@
     def __init__(
         self, daemon: Daemon, peers: Peers, configuration: Configuration
     ) -> None:
-        """Join the links."""
+        """Register metrics and the handlers of links."""
         self.daemon = daemon
         self.peers = peers
         self.configuration = configuration
@@ -132,12 +132,12 @@
         peers.on_open.append(self._on_open)
 
     def start(self) -> None:
-        """Start writing convictions and forgetting old evidence."""
+        """Schedule writes of quarantines and sweeps of old evidence."""
         self.daemon.every(WRITE_INTERVAL_S, self._write)
         self.daemon.every(SWEEP_INTERVAL_S, self._sweep)
 
     def verdict(self, fingerprint: str) -> QuarantineVerdict:
-        """Tell what is held of a request now."""
+        """Return the current verdict on a request."""
         item = self.configuration.world.quarantines.get(fingerprint)
         is_kept = item is not None and item.state != "released"
         if item is not None and is_kept and item.expires > time.time():
@@ -147,14 +147,14 @@
             return self.table.get(fingerprint).verdict(released)
 
     def _released_crashes(self, fingerprint: str) -> Collection[str]:
-        """Return the crashes that an operator excused a request of."""
+        """Return the ids of crashes that a release excuses a request of."""
         item = self.configuration.world.quarantines.get(fingerprint)
         if item is None or item.state != "released":
             return ()
         return item.crashes
 
     def blast_radius(self, fingerprint: str) -> BlastRadius:
-        """Return the instances that a request crashed or may have."""
+        """Return the instances that a request crashed or may have crashed."""
         released = self._released_crashes(fingerprint)
         with self._lock:
             record = self.table.get(fingerprint)
@@ -173,7 +173,7 @@
             return list(self.table.get(fingerprint).crashes.values())
 
     def check(self, fingerprint: str) -> QuarantineVerdict:
-        """Return the verdict unless it is a conviction.
+        """Return the verdict; raise if the request is quarantined.
 
         Raises:
             LacewingdockError: QUARANTINED, not run.
@@ -183,7 +183,7 @@
             self.refused.inc()
             raise LacewingdockError(
                 ErrorKind.QUARANTINED,
-                f"quarantine/{fingerprint}: it crashed upstreams",
+                f"quarantine/{fingerprint}: the request crashed upstreams",
                 RAN_NO,
             )
         return verdict
@@ -196,14 +196,14 @@
         rng: random.Random,
         deadline: float,
     ) -> Upstream:
-        """Choose the upstream for a request; waits for one that is silent.
+        """Choose the upstream for a request; may wait for a silent one.
 
         Args:
             fingerprint: The request.
-            candidates: Upstreams that serve it, silent ones too.
-            tried: Names of those that refused it before.
+            candidates: Upstreams that serve the request, silent ones too.
+            tried: Names of upstreams that refused the request before.
             rng: Source of draws.
-            deadline: Monotonic time after which nobody waits.
+            deadline: Monotonic time at which the wait ends.
 
         Raises:
             LacewingdockError: QUARANTINED or NO_UPSTREAM, not run.
@@ -216,13 +216,15 @@
                 fingerprint, verdict, radius, candidates, tried, rng
             )
             now = time.monotonic()
-            # Other entries may have copies where this one has none.
+            # Evidence about copies sent by other entries may be on its way.
             is_news_due = now < radius.crashed_at + EVIDENCE_DELAY_S
             if chosen is not None and chosen.linked and not is_news_due:
                 return chosen
             if now >= end:
                 where = sorted(radius.crashed | radius.lost)
-                raise _not_placeable(f"not run elsewhere before {where} tell")
+                raise _not_placeable(
+                    f"no other instance may run it until {where} report"
+                )
             with self._news:
                 self._news.wait(min(end - now, QUERY_INTERVAL_S))
 
@@ -235,7 +237,7 @@
         tried: Collection[str],
         rng: random.Random,
     ) -> Upstream | None:
-        """Choose as things stand; None when all it may go to are away."""
+        """Choose without waiting; None if no allowed upstream is linked."""
         allowed = radius.allowed()
         if allowed is not None:
             candidates = [u for u in candidates if u.name in allowed]
@@ -247,11 +249,11 @@
             if allowed is not None and not linked:
                 return None
             return self.placement.choose(fingerprint, linked, tried, rng)
-        # While its host is silent copies may run there, and no other may.
+        # Copies may still run on a silent host, so no other host may run it.
         return choose_isolated(fingerprint, candidates, (), radius.crashed)
 
     def check_blast_radius(self, fingerprint: str, instance: str) -> None:
-        """Refuse a request that two other instances are endangered by.
+        """Refuse a request whose blast radius covers two other instances.
 
         Args:
             fingerprint: The request.
@@ -263,17 +265,18 @@
         radius = self.blast_radius(fingerprint)
         others = (radius.crashed | radius.lost) - {instance}
         if len(others) >= MAX_BLAST_RADIUS:
-            raise _not_placeable(f"it endangers {sorted(others)}")
+            raise _not_placeable(f"the request may have crashed {sorted(others)}")
 
     @contextlib.contextmanager
     def track_attempt(
         self, fingerprint: str, upstream: Upstream
     ) -> Iterator[None]:
-        """Count an attempt as open for the length of a `with` block.
+        """Count an attempt as pending for the duration of a `with` block.
 
-        The evidence goes ahead of a suspect over the same link. News takes
-        its time to reach every peer, and a sidecar that has not heard would
-        run the suspect among others: the crash would prove nothing.
+        The evidence on a suspect is sent ahead of it over the same link.
+        Evidence takes time to reach all peers, and a sidecar that has not
+        received it would run the suspect beside other requests, so that a
+        crash would prove nothing.
         """
         self.placement.attempt_started(fingerprint, upstream.name)
         link = upstream.link
@@ -287,13 +290,13 @@
             self.loss_publisher.retract(fingerprint, upstream.name)
 
     def record_success(self, fingerprint: str) -> None:
-        """Take note that a request was answered whole."""
+        """Record that a request was answered completely."""
         self.placement.record_success(fingerprint)
 
     def report_crash(
         self, crash: str, isolated: bool, fingerprints: list[str]
     ) -> None:
-        """Tell the fleet what was in flight when this upstream crashed."""
+        """Publish the requests in flight when this upstream crashed."""
         self.crashes.inc()
         log.warning(
             "upstream crashed",
@@ -306,26 +309,26 @@
     def report_unresolved(
         self, loss: str, fingerprint: str, is_over: bool
     ) -> None:
-        """Tell the fleet that this upstream may have crashed, or no longer may.
+        """Publish that a possible crash of this upstream is open or resolved.
 
         Args:
-            loss: Id of the doubt.
+            loss: Id of the loss.
             fingerprint: The request that was lost.
-            is_over: Whether a crash was told, or there was none.
+            is_over: Whether a crash was reported or ruled out since.
         """
         self._broadcast(
             Evidence(loss, False, is_over, [fingerprint], 0, True), None
         )
 
     def excuse(self, fingerprint: str) -> None:
-        """Take note that a suspect ran alone and nothing crashed."""
+        """Excuse a suspect of its crashes: it ran alone without a crash."""
         for crash in self._crashes(fingerprint):
             self._broadcast(
                 Evidence(crash.id, False, True, [fingerprint]), None
             )
 
     def enqueue_quarantine(self, attempt: Attempt, fingerprint: str) -> None:
-        """Have a conviction written, if the evidence amounts to one."""
+        """Schedule the write of a quarantine if the evidence suffices."""
         if self.verdict(fingerprint) is not QuarantineVerdict.QUARANTINED:
             return
         with self._lock:
@@ -340,11 +343,11 @@
         )
 
     def record_loss(self, loss: LostAttempt, abandoned: bool = False) -> None:
-        """Take note that nobody knows what became of an attempt.
+        """Record an attempt whose outcome is unknown.
 
         Args:
             loss: The attempt.
-            given_up: Whether its entry has turned elsewhere.
+            abandoned: Whether its entry has stopped waiting for the answer.
         """
         self.lost_attempts.add(loss)
         if abandoned:
@@ -360,7 +363,10 @@
         )
 
     def resolve_loss(self, attempt: str) -> None:
-        """Take note that an attempt did not crash its upstream, or is told."""
+        """Remove a lost attempt that is resolved or obsolete.
+
+        It is resolved once its crash was reported or ruled out.
+        """
         loss = self.lost_attempts.remove(attempt)
         if loss is None:
             return
@@ -375,11 +381,11 @@
             self._news.notify_all()
 
     def _broadcast(self, evidence: Evidence, sender: Link | None) -> None:
-        """Take evidence in; what was news goes on to every other link.
+        """Merge evidence and forward what is new to all other links.
 
-        Entries have links only to sidecars and the other way round, so news
-        that did not go on would stop at the first neighbour while the
-        platform is down.
+        Entries have links only to sidecars and sidecars only to entries, so
+        evidence that is not forwarded would stop at the first neighbour while
+        the platform is down.
         """
         with self._lock:
             news = self.table.merge(evidence, time.monotonic())
@@ -409,7 +415,7 @@
             link.send(message)
 
     def _write(self) -> None:
-        """Write convictions; what fails stays for the next round."""
+        """Write pending quarantines; those that fail are retried next time."""
         for fingerprint, item in tuple(self.pending_writes.items()):
             try:
                 write_quarantine(self.daemon.store, fingerprint, item)
@@ -417,8 +423,8 @@
                 log.warning("quarantine not written", error=error.detail)
                 return
             del self.pending_writes[fingerprint]
-            # The few that write also clear away, so the configuration does
-            # not grow for good and nobody has to hold a lease for it.
+            # The few daemons that write also delete expired quarantines, so
+            # the configuration stays bounded without a lease for the cleanup.
             with contextlib.suppress(LacewingdockError):
                 clear_expired(self.daemon.store)
 
@@ -427,10 +433,11 @@
             self.table.sweep(time.monotonic())
 
     def unload(self) -> None:
-        """Nothing is held beyond the daemon's tasks."""
+        """Do nothing: the daemon itself ends the scheduled tasks."""
 
 
 def _not_placeable(detail: str) -> LacewingdockError:
+    """Return a refusal that asks the caller to retry later."""
     return LacewingdockError(
         ErrorKind.NO_UPSTREAM, detail, RAN_NO, RETRY_AFTER_S
     )
@@ -439,7 +446,7 @@
 def setup(
     daemon: Daemon, peers: Peers, configuration: Configuration
 ) -> Quarantine:
-    """Set the quarantine up."""
+    """Create the quarantine and add it to the daemon."""
     quarantine = Quarantine(daemon, peers, configuration)
     daemon.add(NAME, quarantine)
     return quarantine
--- a/lacewingdock/components/quarantine/crash_detector.py
+++ b/lacewingdock/components/quarantine/crash_detector.py
@@ -1,4 +1,4 @@
-"""Support for noticing that an upstream crashed, and what it ran then."""
+"""Support for detecting upstream crashes and the calls in flight then."""
 
 import contextlib
 import threading
@@ -15,12 +15,12 @@
 from lacewingdock.helpers.ids import new_id
 from lacewingdock.helpers.log import get_logger
 
-# Returns the upstream's incarnation, empty if it does not tell one, or None
-# when nothing listens at its port; raises when it can't be told.
+# Returns the upstream's incarnation, empty if the upstream reports none, or
+# None if nothing listens at its port; raises if the probe is inconclusive.
 Probe = Callable[[], str | None]
-# Takes the crash's id, whether the request ran alone, and the fingerprints.
+# Receives the crash id, whether a suspect ran alone, and the fingerprints.
 CrashCallback = Callable[[str, bool, list[str]], None]
-# Takes an id, the request's fingerprint and whether the doubt is over.
+# Receives a loss id, the request's fingerprint and whether it is resolved.
 UnresolvedCallback = Callable[[str, str, bool], None]
 
 _UNKNOWN: Final = None
@@ -37,20 +37,21 @@
 
 
 class CrashDetector:
-    """What runs on the upstream, and which life of the upstream it is.
+    """Tracks the calls of the upstream and detects its crashes.
 
-    A broken connection alone proves no crash: it may have gone silent or
-    been reset in between. The upstream crashed if nothing listens any more
-    or another incarnation answers.
+    A broken connection alone proves no crash: the connection may have stalled
+    or been reset on the way. The upstream crashed if nothing listens at its
+    port any more or another incarnation answers.
 
     Attributes:
         instance: Name of the sidecar's instance.
-        probe: Asks the upstream for its incarnation.
-        report: Told of each crash once.
-        doubt: Told of each lost call for which the probe can't tell, and
-            again once it is known.
+        probe: Queries the upstream's incarnation.
+        on_crash: Called once for each crash.
+        on_unresolved: Called for each lost call for which the probe is
+            inconclusive, and again once the outcome is known.
         incarnation: The upstream's incarnation; None when not known.
-        era: Id of this life of the upstream, as this sidecar knows it.
+        era: Id of the upstream's current incarnation in crash ids, assigned
+            by this sidecar; a crash starts another era.
     """
 
     __slots__ = (
@@ -73,7 +74,7 @@
         on_crash: CrashCallback,
         on_unresolved: UnresolvedCallback,
     ) -> None:
-        """Start without knowing the upstream."""
+        """Create a detector for an upstream whose incarnation is unknown."""
         self.instance = instance
         self.probe = probe
         self.on_crash = on_crash
@@ -87,7 +88,7 @@
 
     @contextlib.contextmanager
     def call(self, fingerprint: str, alone: bool) -> Iterator[None]:
-        """Watch one call of the upstream for the length of a `with` block.
+        """Track one call of the upstream for the duration of a `with` block.
 
         Raises:
             LacewingdockError: UPSTREAM_FAILED, not run, when the upstream
@@ -101,14 +102,14 @@
         try:
             yield
         except UpstreamLost as error:
-            # One that could not connect had no part in a crash, but may be
-            # the first to notice it.
+            # A call that could not connect took no part in a crash, but may
+            # be the first to notice the crash.
             if error.ran == RAN_NO:
                 with self._lock:
                     self._calls.discard(call)
-            # Before the refusal goes out: over the same link, the evidence
-            # arrives first. An entry that has only the refusal would send
-            # another copy to the next upstream, as if nothing were known.
+            # Must precede the refusal, so that the evidence arrives first over
+            # the same link. An entry that has only the refusal would send
+            # another copy to the next upstream as if there were no evidence.
             self._check_upstream(call)
             raise
         finally:
@@ -116,7 +117,7 @@
                 self._calls.discard(call)
 
     def observe_incarnation(self, incarnation: str) -> None:
-        """Take the incarnation that a regular poll was answered with."""
+        """Process the incarnation that a regular poll returned."""
         if self.incarnation is _UNKNOWN:
             self.incarnation = incarnation
         elif self.incarnation != incarnation:
@@ -142,12 +143,12 @@
     def _check_upstream(self, call: _Call) -> None:
         with self._check_lock:
             if call.era != self.era:
-                # Another call that failed at the same crash told it already.
+                # Another call that failed at the same crash has reported it.
                 return
             try:
                 incarnation = self.probe()
             except LacewingdockError as error:
-                log.warning("crash not told", error=error.detail)
+                log.warning("crash check inconclusive", error=error.detail)
                 self._mark_unresolved(call)
                 return
             self._apply_incarnation(call.era, incarnation)
@@ -159,11 +160,11 @@
             self._resolve_all()
 
     def _mark_unresolved(self, call: _Call) -> None:
-        """Keep a lost call until it is known whether it was a crash.
+        """Keep a lost call until it is known whether the upstream crashed.
 
-        What hangs now may be the upstream's next start, which does not answer
-        yet. Unsaid, the entry would send the request to another upstream as
-        if nothing had happened.
+        The port that hangs may belong to the restarted upstream, which does
+        not answer yet. Without this report the entry would send the request to
+        another upstream as if nothing had happened.
         """
         call.loss_id = f"{self.instance}/lost-{new_id()}"
         with self._lock:
@@ -177,7 +178,7 @@
             self.on_unresolved(call.loss_id, call.fingerprint, True)
 
     def _record_crash(self, era: str, incarnation: str | None) -> None:
-        """Report the crash that ended an era, and begin another."""
+        """Report the crash that ended an era, and start another era."""
         with self._lock:
             if era != self.era:
                 return
--- a/lacewingdock/components/quarantine/evidence.py
+++ b/lacewingdock/components/quarantine/evidence.py
@@ -1,8 +1,9 @@
-"""Support for weighing what was in flight when upstreams crashed.
+"""Support for evidence on the requests in flight when upstreams crashed.
 
-The evidence of a fingerprint is a set of crashes and a set of crashes it is
-excused of. Both only grow, so evidence may come late, twice and over any
-path, and every daemon that has the same evidence gives the same verdict.
+The evidence on a fingerprint is a set of crashes and a set of crashes that the
+fingerprint is excused of. Both sets only grow, so evidence may arrive late,
+more than once and over any path, and all daemons that have the same evidence
+reach the same verdict.
 """
 
 from collections.abc import Collection
@@ -22,7 +23,7 @@
 
 
 class QuarantineVerdict(StrEnum):
-    """What is held of a fingerprint."""
+    """The state of a fingerprint according to the evidence."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -31,14 +32,14 @@
 
 @dataclass(slots=True)
 class Crash:
-    """A crash that a request was in flight at.
+    """A crash at which a request was in flight.
 
     Attributes:
-        id: "INSTANCE/ERA", one for each crash.
+        id: "INSTANCE/ERA", unique for each crash.
         isolated: Whether the request ran alone there, as a suspect.
-        seen: Monotonic time at which it was first known.
+        first_seen: Monotonic time at which the crash was first recorded.
         excused: Whether the request was shown not to be the cause.
-        unresolved: Whether it is not known yet if there was a crash.
+        unresolved: Whether it is still unknown if there was a crash.
     """
 
     id: str
@@ -53,10 +54,10 @@
         return self.id.partition("/")[0]
 
     def evidence(self, fingerprints: list[str], now: float) -> Evidence:
-        """Return what peers are told of it.
+        """Return the message about this crash for peers.
 
         Args:
-            fingerprints: Whom it is told of.
+            fingerprints: Requests to which the message applies.
             now: Monotonic time.
         """
         return Evidence(
@@ -71,11 +72,11 @@
 
 @dataclass(slots=True, frozen=True)
 class BlastRadius:
-    """The instances that a request is a danger to.
+    """The instances that a request crashed or may have crashed.
 
     Attributes:
-        crashed: Those that crashed while they ran it.
-        lost: Others that may have, or may yet.
+        crashed: Instances that crashed while they ran the request.
+        lost: Other instances that may have crashed, or may still crash.
         crashed_at: Monotonic time of the newest crash; 0 without one.
     """
 
@@ -84,11 +85,11 @@
     crashed_at: float
 
     def allowed(self) -> set[str] | None:
-        """Return the instances that it may go to; None for any.
+        """Return the instances that the request may go to; None for any.
 
-        At the limit it goes to one that it endangers already. That is one of
-        which nothing is known, if there is any: its answer tells more than
-        another crash where it crashed before.
+        At the limit the request only goes to instances already in its blast
+        radius, preferably to those where its outcome is unknown: their answer
+        says more than another crash of an instance that crashed before.
         """
         if len(self.crashed | self.lost) < MAX_BLAST_RADIUS:
             return None
@@ -97,16 +98,16 @@
 
 @dataclass(slots=True)
 class EvidenceRecord:
-    """The evidence of one fingerprint.
+    """The evidence on one fingerprint.
 
     Attributes:
-        crashes: Crashes by id.
+        crashes: Crashes and unresolved losses, by id.
     """
 
     crashes: dict[str, Crash] = field(default_factory=dict)
 
     def counted_crashes(self, released: Collection[str] = ()) -> list[Crash]:
-        """Return the crashes that still count."""
+        """Return the crashes not excused, unresolved or released."""
         return [
             crash
             for crash in self.crashes.values()
@@ -114,7 +115,7 @@
         ]
 
     def unresolved_instances(self) -> set[str]:
-        """Return the instances of which it is not known if they crashed."""
+        """Return the instances for which a crash is unresolved."""
         return {
             crash.instance
             for crash in self.crashes.values()
@@ -122,7 +123,11 @@
         }
 
     def make_room(self) -> bool:
-        """Tell whether another crash fits, at the cost of a mere loss."""
+        """Make room for a crash by dropping an unresolved loss if necessary.
+
+        Returns:
+            Whether there is room.
+        """
         if len(self.crashes) < MAX_CRASHES:
             return True
         for crash in self.crashes.values():
@@ -132,12 +137,13 @@
         return False
 
     def verdict(self, released: Collection[str] = ()) -> QuarantineVerdict:
-        """Weigh the crashes that still count.
+        """Return the verdict on the crashes that count.
 
-        One crash makes a suspect: a healthy request may merely have been in
-        flight. A second one convicts only if the suspect ran alone there,
-        on another instance than before; on the same instance it takes two
-        alone, because a broken upstream crashes whatever it runs.
+        One crash makes the request a suspect: a healthy request may have been
+        in flight by chance. A second crash leads to a quarantine only if the
+        suspect ran alone there, on a different instance. On the same instance
+        two crashes of the suspect alone are needed, because a broken upstream
+        crashes whatever it runs.
         """
         crashes = self.counted_crashes(released)
         if not crashes:
@@ -150,7 +156,7 @@
 
 
 def _adds_evidence(known: Crash, evidence: Evidence) -> bool:
-    """Tell whether evidence says more of a crash than is known."""
+    """Return whether evidence adds anything to a crash on record."""
     return (
         (evidence.isolated and not known.isolated)
         or (evidence.excused and not known.excused)
@@ -159,27 +165,27 @@
 
 
 class EvidenceTable:
-    """Evidence by fingerprint, bounded in time and memory.
+    """Evidence by fingerprint, bounded in age and memory.
 
     Attributes:
-        records: Records by fingerprint, the one with the oldest news first.
+        records: Records by fingerprint, the least recently updated first.
     """
 
     __slots__ = ("records",)
 
     def __init__(self) -> None:
-        """Start without evidence."""
+        """Create an empty table."""
         self.records: dict[str, EvidenceRecord] = {}
 
     def merge(self, evidence: Evidence, now: float) -> list[str]:
-        """Take evidence in.
+        """Merge evidence into the table.
 
         Args:
-            evidence: What a peer or this daemon saw.
+            evidence: Evidence from a peer or from this daemon.
             now: Monotonic time.
 
         Returns:
-            The fingerprints that it was news for.
+            The fingerprints whose record has changed.
         """
         first_seen = now - evidence.age_ms / MS_PER_S
         limit = LOSS_TTL_S if evidence.unresolved else QUARANTINE_TTL_S
@@ -219,10 +225,10 @@
         return True
 
     def _evict(self) -> None:
-        """Drop the oldest suspicion; a conviction only if there is no other.
+        """Drop the oldest record, preferably one that is not quarantined.
 
         A caller that crashes upstreams with ever new bodies must not push
-        convictions out of memory.
+        quarantined requests out of memory.
         """
         for fingerprint, record in self.records.items():
             if record.verdict() is not QuarantineVerdict.QUARANTINED:
@@ -231,11 +237,11 @@
         del self.records[next(iter(self.records))]
 
     def get(self, fingerprint: str) -> EvidenceRecord:
-        """Return the evidence of a fingerprint; empty when there is none."""
+        """Return the record of a fingerprint; an empty one if there is none."""
         return self.records.get(fingerprint) or EvidenceRecord()
 
     def sweep(self, now: float) -> None:
-        """Forget what is too old to count."""
+        """Remove losses and records that have expired."""
         for fingerprint, record in tuple(self.records.items()):
             for crash in tuple(record.crashes.values()):
                 if crash.unresolved and now - crash.first_seen > LOSS_TTL_S:
@@ -250,7 +256,7 @@
                 del self.records[fingerprint]
 
     def dump(self, now: float) -> list[Evidence]:
-        """Return everything, one message for each crash."""
+        """Return all evidence, grouped into one message per crash and state."""
         grouped: dict[tuple[str, bool, bool, bool], Evidence] = {}
         for fingerprint, record in tuple(self.records.items()):
             for crash in tuple(record.crashes.values()):
--- a/lacewingdock/components/quarantine/fingerprint.py
+++ b/lacewingdock/components/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""Support for telling that two requests are the same."""
+"""Support for fingerprints, by which repeats of a request are recognised."""
 
 from typing import Any, Final
 
@@ -15,10 +15,10 @@
 def fingerprint_of(attempt: Attempt) -> str:
     """Return the fingerprint of a request: the same for every repeat of it.
 
-    Two requests are the same when workspace, target, method, path and the
-    normalised body are. The target belongs to it because a request that
-    crashes one version may be harmless to the next; the workspace, so that
-    one brand's request never gets another's refused.
+    Two requests are the same when their workspace, target, method, path and
+    normalised body are equal. The target is included because a request that
+    crashes one version may be harmless to the next; the workspace, so that a
+    request of one workspace never causes the refusal of another's.
 
     Returns:
         32 hex digits.
@@ -33,7 +33,10 @@
 
 
 def _normalise(body: bytes) -> bytes:
-    """Take away key order, white space and what does not reach the model."""
+    """Remove key order, white space and fields that the model does not get.
+
+    A body that is not JSON is returned unchanged.
+    """
     try:
         value: Any = decode_json(body)
         if isinstance(value, dict):
--- a/lacewingdock/components/quarantine/loss_publisher.py
+++ b/lacewingdock/components/quarantine/loss_publisher.py
@@ -1,4 +1,4 @@
-"""Support for telling the fleet where an entry's attempts may still crash."""
+"""Support for publishing the instances that lost attempts may still crash."""
 
 import threading
 from collections.abc import Callable
@@ -11,16 +11,18 @@
 
 
 class LossPublisher:
-    """What the fleet was told of an entry's losses.
+    """Publishes an entry's lost and pending attempts to its peers.
 
-    A single loss moves a request on, whoever knows of it; so most losses at a
-    machine that is silent are not told. Those of a request at its limit are,
-    or the entries would each choose other upstreams for it.
+    With a single lost attempt a request may still go to any instance, whether
+    or not the other entries know of the loss. Most losses at a silent machine
+    are therefore not published. Losses of a request at the limit of its blast
+    radius are, because the entries would otherwise each choose different
+    upstreams for it.
 
     Attributes:
-        losses: Attempts of this entry of which nothing is known.
-        placing: Its attempts without an answer.
-        spread: Takes evidence in and passes it on.
+        lost_attempts: Attempts of this entry whose outcome is unknown.
+        placement: Attempts of this entry without an answer.
+        broadcast: Merges evidence and forwards it to the peers.
     """
 
     __slots__ = ("_ids", "_lock", "broadcast", "lost_attempts", "placement")
@@ -31,7 +33,7 @@
         placement: Placement,
         broadcast: Callable[[Evidence], None],
     ) -> None:
-        """Start with nothing told."""
+        """Create a publisher that has published nothing yet."""
         self.lost_attempts = lost_attempts
         self.placement = placement
         self.broadcast = broadcast
@@ -39,12 +41,12 @@
         self._lock = threading.Lock()
 
     def own_instances(self, fingerprint: str) -> set[str]:
-        """Return where this entry has attempts that may still crash."""
+        """Return the instances that this entry's attempts may still crash."""
         lost = self.lost_attempts.instances(fingerprint)
         return lost | self.placement.instances(fingerprint)
 
     def update(self, fingerprint: str, radius: BlastRadius) -> None:
-        """Tell of a request's losses here if it is at its limit."""
+        """Publish a request's losses if its blast radius is at the limit."""
         if radius.allowed() is None:
             return
         for instance in sorted(radius.lost & self.own_instances(fingerprint)):
@@ -58,11 +60,11 @@
             self.broadcast(
                 Evidence(loss_id, False, False, [fingerprint], 0, True)
             )
-            # It may have been resolved before there was anything to take back.
+            # The loss may have been resolved before there was an id to retract.
             self.retract(fingerprint, instance)
 
     def retract(self, fingerprint: str, instance: str) -> None:
-        """Tell that nothing of this entry is in doubt there any more."""
+        """Retract a published loss once no attempt there is unresolved."""
         if instance in self.own_instances(fingerprint):
             return
         with self._lock:
--- a/lacewingdock/components/quarantine/loss_resolver.py
+++ b/lacewingdock/components/quarantine/loss_resolver.py
@@ -1,4 +1,4 @@
-"""Support for asking sidecars what became of lost attempts."""
+"""Support for querying sidecars about the outcome of lost attempts."""
 
 import time
 
@@ -16,14 +16,15 @@
 
 
 class LossResolver:
-    """Clears up an entry's losses.
+    """Resolves the lost attempts of an entry.
 
-    A sidecar that was silent is asked again and again until it says that an
-    attempt can't run any more. It tells of crashes by evidence, ahead of that.
+    A sidecar is queried repeatedly until it replies that the attempt can no
+    longer run. If the attempt crashed the upstream, the sidecar sends the
+    evidence before that reply.
 
     Attributes:
-        membership: Where the sidecars are found.
-        quarantine: Holds the losses.
+        membership: The sidecars and their links.
+        quarantine: Holds the lost attempts.
     """
 
     __slots__ = ("membership", "quarantine")
@@ -31,17 +32,17 @@
     def __init__(
         self, peers: Peers, membership: Membership, quarantine: Quarantine
     ) -> None:
-        """Join the links."""
+        """Register the handler for refusals."""
         self.membership = membership
         self.quarantine = quarantine
         peers.handle(Refusal, self._on_refusal)
 
     def start(self, daemon: Daemon) -> None:
-        """Start asking."""
+        """Schedule the queries."""
         daemon.every(QUERY_INTERVAL_S, self.send_queries)
 
     def send_queries(self) -> None:
-        """Ask once for each attempt that nobody waits for."""
+        """Send one query for each abandoned attempt; resolve obsolete ones."""
         for loss in self.quarantine.lost_attempts.abandoned():
             if self._is_obsolete(loss):
                 self.quarantine.resolve_loss(loss.attempt)
@@ -58,6 +59,6 @@
 
     def _on_refusal(self, link: Link, message: Refusal) -> None:
         loss = self.quarantine.lost_attempts.get(message.attempt)
-        # A peer may only speak for attempts that were sent to it.
+        # Only the sidecar that got an attempt may report its outcome.
         if loss is not None and loss.instance == link.peer.instance:
             self.quarantine.resolve_loss(message.attempt)
--- a/lacewingdock/components/quarantine/lost_attempts.py
+++ b/lacewingdock/components/quarantine/lost_attempts.py
@@ -1,8 +1,8 @@
-"""Support for attempts of which nobody knows whether they crash an upstream.
+"""Support for lost attempts, whose outcome is unknown.
 
-An attempt whose sidecar fell silent may have crashed its upstream, may do so
-yet, or may never have begun. Until the sidecar tells, or is known to be gone,
-the request is counted as a danger to that upstream.
+An attempt whose sidecar fell silent may have crashed its upstream, may still
+do so, or may never have started. Until the sidecar reports the outcome, or is
+known to be gone, the upstream counts towards the request's blast radius.
 """
 
 import threading
@@ -14,14 +14,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LostAttempt:
-    """One such attempt.
+    """An attempt whose outcome is unknown.
 
     Attributes:
         attempt: Id of the attempt.
         fingerprint: The request.
         instance: Name of the sidecar's instance.
-        incarnation: Incarnation of the sidecar that it was sent to.
-        since: Monotonic time at which it was lost.
+        incarnation: Incarnation of the sidecar that got the attempt.
+        since: Monotonic time at which the attempt was lost.
     """
 
     attempt: str
@@ -32,19 +32,19 @@
 
 
 class LostAttempts:
-    """The lost attempts of an entry, by id, the oldest first."""
+    """The lost attempts of an entry, by attempt id, the oldest first."""
 
     __slots__ = ("_abandoned", "_by_fingerprint", "_lock", "_losses")
 
     def __init__(self) -> None:
-        """Start without losses."""
+        """Create an empty collection."""
         self._abandoned: set[str] = set()
         self._losses: OrderedDict[str, LostAttempt] = OrderedDict()
         self._by_fingerprint: dict[str, set[str]] = {}
         self._lock = threading.Lock()
 
     def add(self, loss: LostAttempt) -> None:
-        """Take a loss in; beyond the limit the oldest is forgotten."""
+        """Add a lost attempt; beyond the limit the oldest is dropped."""
         with self._lock:
             self._losses.setdefault(loss.attempt, loss)
             attempts = self._by_fingerprint.setdefault(loss.fingerprint, set())
@@ -53,13 +53,13 @@
                 self._remove_locked(next(iter(self._losses)))
 
     def abandon(self, attempt: str) -> None:
-        """Take note that its entry has turned elsewhere."""
+        """Mark a lost attempt as abandoned: its entry stopped waiting."""
         with self._lock:
             if attempt in self._losses:
                 self._abandoned.add(attempt)
 
     def remove(self, attempt: str) -> LostAttempt | None:
-        """Take a loss out; return it if it was there."""
+        """Remove and return a lost attempt; None if it is not tracked."""
         with self._lock:
             return self._remove_locked(attempt)
 
@@ -74,11 +74,11 @@
         return loss
 
     def get(self, attempt: str) -> LostAttempt | None:
-        """Find a loss."""
+        """Return a lost attempt by its id; None if it is not tracked."""
         return self._losses.get(attempt)
 
     def abandoned(self) -> list[LostAttempt]:
-        """Return the losses that nobody waits for, the oldest first."""
+        """Return the abandoned attempts, the oldest first."""
         with self._lock:
             return [
                 loss
@@ -87,11 +87,11 @@
             ]
 
     def for_fingerprint(self, fingerprint: str) -> list[LostAttempt]:
-        """Return the losses of a request."""
+        """Return the lost attempts of a request."""
         with self._lock:
             attempts = self._by_fingerprint.get(fingerprint, ())
             return [self._losses[attempt] for attempt in sorted(attempts)]
 
     def instances(self, fingerprint: str) -> set[str]:
-        """Return the instances at which a request is lost."""
+        """Return the instances that have lost attempts of a request."""
         return {loss.instance for loss in self.for_fingerprint(fingerprint)}
--- a/lacewingdock/components/quarantine/placement.py
+++ b/lacewingdock/components/quarantine/placement.py
@@ -1,4 +1,4 @@
-"""Support for sending every copy of a request to the same upstream."""
+"""Support for sending all copies of a request to the same upstream."""
 
 import hashlib
 import random
@@ -19,10 +19,10 @@
 
 
 def rank(fingerprint: str, candidates: list[Upstream]) -> list[Upstream]:
-    """Order upstreams for a fingerprint, alike on every entry.
+    """Order upstreams for a fingerprint, in the same way on every entry.
 
-    Rendezvous hashing: an upstream that comes or goes moves only the
-    fingerprints that it was first for.
+    Rendezvous hashing: adding or removing an upstream moves only the
+    fingerprints that rank it first.
     """
     return sorted(
         candidates,
@@ -33,22 +33,22 @@
 
 
 class Placement:
-    """Chooses upstreams so that copies of one request meet.
+    """Chooses upstreams so that copies of a request share one upstream.
 
-    Before the first crash nobody knows that a request is bad. Copies sent at
-    once through several entries would each take an upstream down if they
-    were spread. Here they go to the same one, which can crash only once.
+    Before the first crash nothing shows that a request is a poison request.
+    If copies sent at once through several entries were spread, each would
+    crash another upstream. Sent to one upstream, they crash only that one.
 
     Attributes:
-        open: Attempts without an answer yet, by fingerprint and upstream.
-        proven: Fingerprints that were answered whole lately; they need no
-            such care and go where the load is least.
+        pending: Attempts without an answer, by fingerprint and upstream.
+        succeeded: Fingerprints that were recently answered completely; they
+            need no affinity and are balanced by load.
     """
 
     __slots__ = ("_lock", "pending", "succeeded")
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Create a placement without attempts."""
         self.pending: dict[str, Counter[str]] = {}
         self.succeeded: dict[str, None] = {}
         self._lock = threading.Lock()
@@ -79,12 +79,12 @@
         return choose_upstream(candidates, tried, rng)
 
     def attempt_started(self, fingerprint: str, upstream: str) -> None:
-        """Count an attempt that goes out."""
+        """Count an attempt that is sent to an upstream."""
         with self._lock:
             self.pending.setdefault(fingerprint, Counter())[upstream] += 1
 
     def attempt_ended(self, fingerprint: str, upstream: str) -> None:
-        """Count an attempt that began to be answered or was refused."""
+        """Stop counting an attempt once its answer begins or it is refused."""
         with self._lock:
             copies = self.pending.get(fingerprint)
             if copies is None:
@@ -94,17 +94,17 @@
                 del self.pending[fingerprint]
 
     def instances(self, fingerprint: str) -> set[str]:
-        """Return where a request has attempts without an answer."""
+        """Return the instances with unanswered attempts of a request."""
         with self._lock:
             return set(+self.pending.get(fingerprint, Counter()))
 
     def record_success(self, fingerprint: str) -> None:
-        """Take note of a whole answer."""
+        """Record that a request was answered completely."""
         with self._lock:
             remember(self.succeeded, fingerprint, None, MAX_SUCCEEDED)
 
     def clear_successes(self, fingerprints: Collection[str]) -> None:
-        """Forget that requests were answered whole."""
+        """Discard the record that requests were answered completely."""
         with self._lock:
             for fingerprint in fingerprints:
                 self.succeeded.pop(fingerprint, None)
@@ -116,19 +116,19 @@
     tried: Collection[str],
     crashed: Collection[str],
 ) -> Upstream:
-    """Choose where a suspect runs alone, alike on every entry.
+    """Choose where a suspect runs alone, in the same way on every entry.
 
-    A suspect goes to one upstream however many copies there are and
-    whichever entries they come through: that one runs them one at a time,
-    so it is the only one that they can take down. Upstreams that crashed
-    under it come last, since a broken one would convict the healthy.
+    All copies of a suspect go to one upstream, whichever entries they come
+    through. It runs them one at a time, so they can crash no other upstream.
+    Upstreams that crashed while they ran the suspect come last, because a
+    broken upstream would get healthy requests quarantined.
 
     Args:
         fingerprint: The suspect.
-        candidates: Upstreams that may take the request.
-        tried: Names of those that refused it before, because they can't
-            run it at all.
-        crashed: Names of those that crashed while they ran it.
+        candidates: Upstreams that may run the request.
+        tried: Names of upstreams that refused the request before, because
+            they can't run it at all.
+        crashed: Names of upstreams that crashed while they ran the request.
 
     Raises:
         LacewingdockError: NO_UPSTREAM, not run.
@@ -136,7 +136,9 @@
     untried = [u for u in candidates if u.name not in tried]
     if not untried:
         raise LacewingdockError(
-            ErrorKind.NO_UPSTREAM, "no upstream can run it alone now", RAN_NO
+            ErrorKind.NO_UPSTREAM,
+            "no upstream can run the suspect request alone now",
+            RAN_NO,
         )
     sound = [u for u in untried if u.name not in crashed] or untried
     hosts = rank("isolation", sound)
--- a/lacewingdock/components/quarantine/storage.py
+++ b/lacewingdock/components/quarantine/storage.py
@@ -1,4 +1,4 @@
-"""Support for listing and releasing quarantined requests, for operators."""
+"""Support for the quarantines stored in the platform's configuration."""
 
 import time
 from dataclasses import replace
@@ -15,7 +15,7 @@
 
 
 def list_quarantines(store: ObjectStore) -> dict[str, Quarantine]:
-    """Return the quarantines kept by the platform, by fingerprint.
+    """Return the quarantines stored in the platform, by fingerprint.
 
     Raises:
         LacewingdockError: PLATFORM_UNAVAILABLE.
@@ -31,17 +31,17 @@
 
 
 def release_quarantine(store: ObjectStore, fingerprint: str) -> int:
-    """Let a quarantined request run again.
+    """Release a quarantined request, so that it may run again.
 
-    It is excused of the crashes that convicted it. If it crashes upstreams
-    again, it is quarantined again.
+    The crashes named in the quarantine no longer count against the request.
+    If it crashes upstreams again, it is quarantined again.
 
     Returns:
-        The configuration revision from which it runs.
+        The configuration revision from which the request may run.
 
     Raises:
-        LacewingdockError: NOT_FOUND when it isn't quarantined; CONFLICT when
-            another change came first; PLATFORM_UNAVAILABLE.
+        LacewingdockError: NOT_FOUND when the request isn't quarantined;
+            CONFLICT when another change came first; PLATFORM_UNAVAILABLE.
     """
     key = PREFIX + fingerprint
     stored = store.get(COLLECTION_CONFIG, key, "quarantine")
@@ -59,7 +59,7 @@
 
 
 def released_value(value: Any) -> Any:
-    """Return a quarantine's value once it is released."""
+    """Return the stored value of a quarantine with its state released."""
     item = msgspec.convert(value, Quarantine)
     return msgspec.to_builtins(replace(item, state="released"))
 
@@ -67,10 +67,10 @@
 def write_quarantine(
     store: ObjectStore, fingerprint: str, item: Quarantine
 ) -> None:
-    """Keep a conviction in the platform, so that it outlives every daemon.
+    """Store a quarantine in the platform, so that it outlives every daemon.
 
-    Crashes that an earlier quarantine of the same request already names stay
-    named: a release of it must go on excusing them.
+    Crashes named by an earlier quarantine of the same request are kept, so
+    that a release continues to excuse the request of them.
 
     Raises:
         LacewingdockError: CONFLICT when another change came first;
@@ -94,7 +94,7 @@
 
 
 def clear_expired(store: ObjectStore) -> int:
-    """Delete what expired; returns how many were deleted.
+    """Delete expired quarantines; return how many were deleted.
 
     Raises:
         LacewingdockError: CONFLICT or PLATFORM_UNAVAILABLE.
--- a/lacewingdock/components/routing/choice.py
+++ b/lacewingdock/components/routing/choice.py
@@ -1,4 +1,4 @@
-"""Support for choosing the upstream that takes a request."""
+"""Support for choosing the upstream of a request by load."""
 
 import random
 from collections.abc import Collection
@@ -13,11 +13,12 @@
     tried: Collection[str],
     rng: random.Random,
 ) -> Upstream:
-    """Choose the less loaded of two upstreams drawn at random.
+    """Choose the less loaded of two random upstreams (power of two choices).
 
     Args:
-        candidates: Upstreams that may take the request.
-        tried: Names of those that refused it before; a last resort only.
+        candidates: Upstreams that may run the request.
+        tried: Names of upstreams that refused the request before; they are
+            not chosen again.
         rng: Source of the draw.
 
     Raises:
@@ -26,7 +27,7 @@
     untried = [u for u in candidates if u.name not in tried]
     if not untried:
         raise LacewingdockError(
-            ErrorKind.NO_UPSTREAM, "no upstream can take it now", RAN_NO
+            ErrorKind.NO_UPSTREAM, "no upstream can run the request now", RAN_NO
         )
     drawn = rng.sample(untried, min(2, len(untried)))
     return min(drawn, key=lambda upstream: upstream.load())
--- a/lacewingdock/components/routing/plan.py
+++ b/lacewingdock/components/routing/plan.py
@@ -11,11 +11,12 @@
 
 @dataclass(slots=True)
 class VersionPlan:
-    """The versions to try, in order.
+    """The versions that a request tries, in order.
 
     Attributes:
-        name: What the caller asked for.
-        steps: The steps; the last one's answer is given whatever its rating.
+        name: Model, cascade or version that the caller asked for.
+        steps: The steps; the answer of the last step is returned whatever its
+            rating.
         moved_from: Version that the session had to leave, or empty.
     """
 
@@ -31,7 +32,7 @@
     session: Session | None,
     rng: random.Random,
 ) -> VersionPlan:
-    """Plan a request.
+    """Return the versions that a request tries.
 
     Args:
         world: The configuration in force.
@@ -42,22 +43,22 @@
 
     Raises:
         LacewingdockError: UNKNOWN_MODEL, MODEL_NOT_ALLOWED or
-            VERSION_WITHDRAWN; none of them ran.
+            VERSION_WITHDRAWN; not run.
     """
     _check_name(world, workspace, name)
     if session is None or session.name != name:
         return VersionPlan(name, _resolve_steps(world, workspace, name, rng))
-    # Before the name's own versions are looked at: the session's one may be
-    # offered still when no new session would get it, nor any other.
+    # Checked before the versions of the name: the session's version may still
+    # be offered when new sessions would get another version or none.
     if session.version in workspace.versions and world.offered(session.version):
         return VersionPlan(name, [Step(version=session.version)])
-    # Withdrawal goes before stickiness; the caller is told in a header.
+    # Withdrawal overrides session affinity; a header reports the move.
     steps = _resolve_steps(world, workspace, name, rng)
     return VersionPlan(name, steps, moved_from=session.version)
 
 
 def _check_name(world: World, workspace: Workspace, name: str) -> None:
-    """Refuse a name that the workspace may not ask for."""
+    """Raise for a name that is unknown or not allowed to the workspace."""
     if name in workspace.models:
         return
     if name in workspace.versions and name in world.versions:
@@ -73,7 +74,7 @@
 def _resolve_steps(
     world: World, workspace: Workspace, name: str, rng: random.Random
 ) -> list[Step]:
-    """Return the steps of a name that the workspace allows now."""
+    """Return the steps of a name that are allowed and offered now."""
     if name in world.versions and name in workspace.versions:
         return _offered_steps(world, name, [Step(version=name)])
     match world.cascades.get(name) or world.models.get(name):
@@ -91,10 +92,12 @@
 
 
 def _offered_steps(world: World, name: str, steps: list[Step]) -> list[Step]:
+    """Return the steps whose version is offered; raise if there is none."""
     offered = [step for step in steps if world.offered(step.version)]
     if not offered:
         raise LacewingdockError(
-            ErrorKind.VERSION_WITHDRAWN, f"every version of {name!r}"
+            ErrorKind.VERSION_WITHDRAWN,
+            f"every version of {name!r} is withdrawn",
         )
     return offered
 
@@ -105,7 +108,11 @@
     shares: dict[str, float],
     rng: random.Random,
 ) -> list[Step]:
-    """Draw one version by the shares, among those allowed and offered."""
+    """Draw a version by its share among those allowed and offered.
+
+    If none is offered with a share above 0, the draw is among all allowed
+    versions; `_offered_steps` then refuses a withdrawn one.
+    """
     allowed = {v: s for v, s in shares.items() if v in workspace.versions}
     offered = {v: s for v, s in allowed.items() if world.offered(v) and s > 0}
     candidates = offered or allowed
--- a/lacewingdock/components/sessions/__init__.py
+++ b/lacewingdock/components/sessions/__init__.py
@@ -1,4 +1,4 @@
-"""Support for session tokens, which any entry honours without shared state."""
+"""Support for session tokens, which entries verify without shared state."""
 
 import base64
 import binascii
@@ -17,12 +17,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Session:
-    """What a token says.
+    """The content of a session token.
 
     Attributes:
-        workspace: The workspace it belongs to.
+        workspace: The workspace that the session belongs to.
         name: The model or cascade that the session asked for.
-        version: The version that it stays on.
+        version: The version that the session is pinned to.
         step: The cascade step of that version.
     """
 
@@ -33,7 +33,7 @@
 
 
 def sign_session(session: Session, keys: KeyRing) -> str:
-    """Return a signed token of a session."""
+    """Return a signed token for a session."""
     payload = msgspec.json.encode(session)
     key_id, mac = keys.sign(SIGNATURE_LABEL, payload)
     parts = (payload, key_id.encode(), mac)
@@ -41,24 +41,25 @@
 
 
 def open_session(token: str, workspace: str, keys: KeyRing) -> Session:
-    """Check a token and return its session.
+    """Verify a token and return its session.
 
     Args:
-        token: What the caller sent.
+        token: The token that the caller sent.
         workspace: The caller's workspace, which must be the token's.
         keys: Keys that are accepted.
 
     Raises:
-        LacewingdockError: BAD_TOKEN when it isn't genuine or another's.
+        LacewingdockError: BAD_TOKEN when the token is malformed, its
+            signature is invalid or it belongs to another workspace.
     """
     try:
         if len(token) > MAX_TOKEN_CHARS:
-            raise ValueError("too long")
+            raise ValueError("longer than the limit")
         payload, key_id, mac = (
             base64.urlsafe_b64decode(part) for part in token.split(".")
         )
         if not keys.verify(key_id.decode(), mac, SIGNATURE_LABEL, payload):
-            raise ValueError("not genuine")
+            raise ValueError("the signature is invalid")
         session = decode_json(payload, Session)
     except (ValueError, binascii.Error, msgspec.DecodeError) as error:
         raise LacewingdockError(
@@ -66,6 +67,6 @@
         ) from error
     if session.workspace != workspace:
         raise LacewingdockError(
-            ErrorKind.BAD_TOKEN, "the session is another workspace's"
+            ErrorKind.BAD_TOKEN, "the session belongs to another workspace"
         )
     return session
