--- a/lacewingdock/components/quarantine/__init__.py
+++ b/lacewingdock/components/quarantine/__init__.py
@@ -76,8 +76,8 @@
     """
 
     __slots__ = (
+        "_evidence_changed",
         "_lock",
-        "_news",
         "configuration",
         "crashes",
         "daemon",
@@ -103,11 +103,11 @@
         self.loss_publisher = LossPublisher(
             self.lost_attempts,
             self.placement,
-            lambda news: self._broadcast(news, None),
+            lambda evidence: self._broadcast(evidence, None),
         )
         self.pending_writes: dict[str, QuarantineItem] = {}
         self._lock = threading.Lock()
-        self._news = threading.Condition(self._lock)
+        self._evidence_changed = threading.Condition(self._lock)
         self.crashes = prometheus_client.Counter(
             "lacewingdock_upstream_crashes",
             "Crashes of this sidecar's upstream with requests in flight",
@@ -133,7 +133,7 @@
 
     def start(self) -> None:
         """Schedule writes of quarantines and sweeps of old evidence."""
-        self.daemon.every(WRITE_INTERVAL_S, self._write)
+        self.daemon.every(WRITE_INTERVAL_S, self._write_pending)
         self.daemon.every(SWEEP_INTERVAL_S, self._sweep)
 
     def verdict(self, fingerprint: str) -> QuarantineVerdict:
@@ -217,16 +217,16 @@
             )
             now = time.monotonic()
             # Evidence about copies sent by other entries may be on its way.
-            is_news_due = now < radius.crashed_at + EVIDENCE_DELAY_S
-            if chosen is not None and chosen.linked and not is_news_due:
+            is_evidence_due = now < radius.crashed_at + EVIDENCE_DELAY_S
+            if chosen is not None and chosen.linked and not is_evidence_due:
                 return chosen
             if now >= end:
-                where = sorted(radius.crashed | radius.lost)
+                instances = sorted(radius.crashed | radius.lost)
                 raise _not_placeable(
-                    f"no other instance may run it until {where} report"
+                    f"no other instance may run it until {instances} report"
                 )
-            with self._news:
-                self._news.wait(min(end - now, QUERY_INTERVAL_S))
+            with self._evidence_changed:
+                self._evidence_changed.wait(min(end - now, QUERY_INTERVAL_S))
 
     def _choose(
         self,
@@ -237,7 +237,7 @@
         tried: Collection[str],
         rng: random.Random,
     ) -> Upstream | None:
-        """Choose without waiting; None if no allowed upstream is linked."""
+        """Choose without waiting; None if no allowed upstream is available."""
         allowed = radius.allowed()
         if allowed is not None:
             candidates = [u for u in candidates if u.name in allowed]
@@ -265,7 +265,9 @@
         radius = self.blast_radius(fingerprint)
         others = (radius.crashed | radius.lost) - {instance}
         if len(others) >= MAX_BLAST_RADIUS:
-            raise _not_placeable(f"the request may have crashed {sorted(others)}")
+            raise _not_placeable(
+                f"the request may have crashed {sorted(others)}"
+            )
 
     @contextlib.contextmanager
     def track_attempt(
@@ -282,7 +284,7 @@
         link = upstream.link
         for crash in self._crashes(fingerprint) if link else ():
             assert link is not None
-            link.send(crash.evidence([fingerprint], time.monotonic()))
+            link.send(crash.to_message([fingerprint], time.monotonic()))
         try:
             yield
         finally:
@@ -377,8 +379,8 @@
             age_s=round(time.monotonic() - loss.since, 2),
         )
         self.loss_publisher.retract(loss.fingerprint, loss.instance)
-        with self._news:
-            self._news.notify_all()
+        with self._evidence_changed:
+            self._evidence_changed.notify_all()
 
     def _broadcast(self, evidence: Evidence, sender: Link | None) -> None:
         """Merge evidence and forward what is new to all other links.
@@ -388,18 +390,18 @@
         the platform is down.
         """
         with self._lock:
-            news = self.table.merge(evidence, time.monotonic())
-        if not news:
+            changed = self.table.merge(evidence, time.monotonic())
+        if not changed:
             return
         if not evidence.unresolved:
-            self.placement.clear_successes(news)
-        evidence = replace(evidence, fingerprints=news)
+            self.placement.clear_successes(changed)
+        evidence = replace(evidence, fingerprints=changed)
         for link in tuple(self.peers.links):
             if link is not sender:
                 link.send(evidence)
-        with self._news:
-            self._news.notify_all()
-        for fingerprint in news:
+        with self._evidence_changed:
+            self._evidence_changed.notify_all()
+        for fingerprint in changed:
             if self.loss_publisher.own_instances(fingerprint):
                 self.loss_publisher.update(
                     fingerprint, self.blast_radius(fingerprint)
@@ -414,7 +416,7 @@
         for message in evidence:
             link.send(message)
 
-    def _write(self) -> None:
+    def _write_pending(self) -> None:
         """Write pending quarantines; those that fail are retried next time."""
         for fingerprint, item in tuple(self.pending_writes.items()):
             try:
--- a/lacewingdock/components/quarantine/crash_detector.py
+++ b/lacewingdock/components/quarantine/crash_detector.py
@@ -92,7 +92,7 @@
 
         Raises:
             LacewingdockError: UPSTREAM_FAILED, not run, when the upstream
-                is known to have crashed and is not back.
+                is known to have crashed and has not restarted.
         """
         if self.incarnation is _UNKNOWN:
             self._read_incarnation()
@@ -135,7 +135,7 @@
             if incarnation is None:
                 raise LacewingdockError(
                     ErrorKind.UPSTREAM_FAILED,
-                    "the upstream crashed and is not back",
+                    "the upstream crashed and has not restarted",
                     RAN_NO,
                 )
             self.incarnation = incarnation
@@ -173,8 +173,8 @@
 
     def _resolve_all(self) -> None:
         with self._lock:
-            decided, self._unresolved = self._unresolved, set()
-        for call in decided:
+            resolved, self._unresolved = self._unresolved, set()
+        for call in resolved:
             self.on_unresolved(call.loss_id, call.fingerprint, True)
 
     def _record_crash(self, era: str, incarnation: str | None) -> None:
--- a/lacewingdock/components/quarantine/evidence.py
+++ b/lacewingdock/components/quarantine/evidence.py
@@ -53,7 +53,7 @@
         """Name of the sidecar's instance whose upstream crashed."""
         return self.id.partition("/")[0]
 
-    def evidence(self, fingerprints: list[str], now: float) -> Evidence:
+    def to_message(self, fingerprints: list[str], now: float) -> Evidence:
         """Return the message about this crash for peers.
 
         Args:
@@ -155,12 +155,12 @@
         return QuarantineVerdict.SUSPECT
 
 
-def _adds_evidence(known: Crash, evidence: Evidence) -> bool:
+def _adds_evidence(recorded: Crash, evidence: Evidence) -> bool:
     """Return whether evidence adds anything to a crash on record."""
     return (
-        (evidence.isolated and not known.isolated)
-        or (evidence.excused and not known.excused)
-        or (known.unresolved and not evidence.unresolved)
+        (evidence.isolated and not recorded.isolated)
+        or (evidence.excused and not recorded.excused)
+        or (recorded.unresolved and not evidence.unresolved)
     )
 
 
@@ -191,35 +191,35 @@
         limit = LOSS_TTL_S if evidence.unresolved else QUARANTINE_TTL_S
         if now - first_seen > limit:
             return []
-        news = [
+        changed = [
             fingerprint
             for fingerprint in evidence.fingerprints
             if self._merge_one(fingerprint, evidence, first_seen)
         ]
         while len(self.records) > MAX_RECORDS:
             self._evict()
-        return news
+        return changed
 
     def _merge_one(
         self, fingerprint: str, evidence: Evidence, first_seen: float
     ) -> bool:
         record = self.records.get(fingerprint) or EvidenceRecord()
-        known = record.crashes.get(evidence.crash)
-        if known is None:
+        recorded = record.crashes.get(evidence.crash)
+        if recorded is None:
             if not record.make_room():
                 return False
-            known = Crash(
+            recorded = Crash(
                 evidence.crash,
                 evidence.isolated,
                 first_seen,
                 unresolved=evidence.unresolved,
             )
-            record.crashes[evidence.crash] = known
-        elif not _adds_evidence(known, evidence):
+            record.crashes[evidence.crash] = recorded
+        elif not _adds_evidence(recorded, evidence):
             return False
-        known.isolated = known.isolated or evidence.isolated
-        known.excused = known.excused or evidence.excused
-        known.unresolved = known.unresolved and evidence.unresolved
+        recorded.isolated = recorded.isolated or evidence.isolated
+        recorded.excused = recorded.excused or evidence.excused
+        recorded.unresolved = recorded.unresolved and evidence.unresolved
         self.records.pop(fingerprint, None)
         self.records[fingerprint] = record
         return True
@@ -249,8 +249,8 @@
             if not record.crashes:
                 del self.records[fingerprint]
                 continue
-            convicted = record.verdict() is QuarantineVerdict.QUARANTINED
-            limit = QUARANTINE_TTL_S if convicted else SUSPECT_TTL_S
+            is_quarantined = record.verdict() is QuarantineVerdict.QUARANTINED
+            limit = QUARANTINE_TTL_S if is_quarantined else SUSPECT_TTL_S
             newest = max(crash.first_seen for crash in record.crashes.values())
             if now - newest > limit:
                 del self.records[fingerprint]
@@ -266,6 +266,6 @@
                     crash.excused,
                     crash.unresolved,
                 )
-                evidence = grouped.setdefault(key, crash.evidence([], now))
+                evidence = grouped.setdefault(key, crash.to_message([], now))
                 evidence.fingerprints.append(fingerprint)
         return list(grouped.values())
--- a/lacewingdock/components/quarantine/placement.py
+++ b/lacewingdock/components/quarantine/placement.py
@@ -18,7 +18,9 @@
 from lacewingdock.world.upstream import Upstream
 
 
-def rank(fingerprint: str, candidates: list[Upstream]) -> list[Upstream]:
+def rank_upstreams(
+    fingerprint: str, candidates: list[Upstream]
+) -> list[Upstream]:
     """Order upstreams for a fingerprint, in the same way on every entry.
 
     Rendezvous hashing: adding or removing an upstream moves only the
@@ -36,8 +38,9 @@
     """Chooses upstreams so that copies of a request share one upstream.
 
     Before the first crash nothing shows that a request is a poison request.
-    If copies sent at once through several entries were spread, each would
-    crash another upstream. Sent to one upstream, they crash only that one.
+    If copies sent at once through several entries were balanced by load, each
+    would crash another upstream. Sent to one upstream, they crash only that
+    one.
 
     Attributes:
         pending: Attempts without an answer, by fingerprint and upstream.
@@ -72,7 +75,7 @@
         for upstream in untried if copies else ():
             if copies and copies[upstream.name] > 0:
                 return upstream
-        first = rank(fingerprint, untried)[0]
+        first = rank_upstreams(fingerprint, untried)[0]
         mean = sum(u.load() for u in untried) / len(untried)
         if first.load() <= mean + MAX_EXCESS_LOAD:
             return first
@@ -141,6 +144,6 @@
             RAN_NO,
         )
     sound = [u for u in untried if u.name not in crashed] or untried
-    hosts = rank("isolation", sound)
+    hosts = rank_upstreams("isolation", sound)
     hosts = hosts[: max(1, int(len(sound) * MAX_ISOLATION_SHARE))]
-    return rank(fingerprint, hosts)[0]
+    return rank_upstreams(fingerprint, hosts)[0]
--- a/lacewingdock/components/routing/plan.py
+++ b/lacewingdock/components/routing/plan.py
@@ -63,10 +63,10 @@
         return
     if name in workspace.versions and name in world.versions:
         return
-    known = name in world.models or name in world.cascades
-    known = known or name in world.versions
+    exists = name in world.models or name in world.cascades
+    exists = exists or name in world.versions
     raise LacewingdockError(
-        ErrorKind.MODEL_NOT_ALLOWED if known else ErrorKind.UNKNOWN_MODEL,
+        ErrorKind.MODEL_NOT_ALLOWED if exists else ErrorKind.UNKNOWN_MODEL,
         f"model {name!r}",
     )
 
--- a/tests/components/quarantine/__init__.py
+++ b/tests/components/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the quarantine."""
+"""Tests of the quarantine of poison requests."""
--- a/tests/components/quarantine/common.py
+++ b/tests/components/quarantine/common.py
@@ -1,4 +1,4 @@
-"""Support for the tests of quarantines."""
+"""Helpers of the quarantine tests."""
 
 from lacewingdock.const import HEADER_REQUEST_ID, RAN_NO
 from lacewingdock.links.messages import Status
@@ -21,8 +21,8 @@
     return made
 
 
-def lost(deployment):
-    """Name the engines whose process has ended."""
+def crashed_engines(deployment):
+    """Return the names of the engines whose process has ended."""
     return [
         name
         for name, process in deployment.processes.items()
@@ -30,8 +30,8 @@
     ]
 
 
-def begun(deployment):
-    """Return the ids of the crashing requests that an engine began."""
+def started_requests(deployment):
+    """Return the ids of the crashing requests that an engine started."""
     lines = [
         line
         for name in deployment.processes
@@ -45,9 +45,9 @@
     }
 
 
-def untrue(deployment, replies):
-    """Return the refusals as "not run" of requests that an engine began."""
-    ran = begun(deployment)
+def false_refusals(deployment, replies):
+    """Return the replies that say "not run" although an engine started it."""
+    ran = started_requests(deployment)
     return [
         reply
         for reply in replies
--- a/tests/components/quarantine/pausable_time.py
+++ b/tests/components/quarantine/pausable_time.py
@@ -1,4 +1,4 @@
-"""Time in which processes may be paused, and what their tasks wait for."""
+"""Virtual time with process pauses, and sockets and locks that use it."""
 
 import collections
 import queue
@@ -10,7 +10,7 @@
 from tests.virtual_time import VirtualTime
 
 STEP_S = 0.02
-WAY_S = 0.001
+DELIVERY_S = 0.001
 
 
 @dataclass(eq=False)
@@ -18,15 +18,15 @@
     """A process that may be paused.
 
     Attributes:
-        name: Its name.
-        pauses: When it is paused: begin and end.
+        name: Name of the process.
+        pauses: Begin and end of each pause, in seconds of virtual time.
     """
 
     name: str
     pauses: list[tuple[float, float]] = field(default_factory=list)
 
     def resumes_at(self, now):
-        """Return when it goes on; now unless it is paused."""
+        """Return when the process continues; now unless it is paused."""
         for begin, end in self.pauses:
             if begin <= now < end:
                 return end
@@ -34,39 +34,39 @@
 
 
 class FleetTime(VirtualTime):
-    """Time in which the tasks of a paused process stand still."""
+    """Virtual time in which the tasks of a paused process are suspended."""
 
     def __init__(self):
         super().__init__()
         self._process = threading.local()
 
     def start_in(self, process, function, *args):
-        """Add a task of a process."""
+        """Start a task that belongs to a process."""
 
         def run():
             self._process.value = process
-            self.settle()
+            self.wait_for_pause_end()
             function(*args)
 
         self.start(run)
 
     def process(self):
-        """Return the process of the task that calls."""
+        """Return the process of the calling task; None if it has none."""
         return getattr(self._process, "value", None)
 
     def sleep(self, seconds):
-        """Let time pass, and the rest of a pause."""
+        """Sleep, then wait for the end of a pause."""
         super().sleep(max(seconds, 0.0))
-        self.settle()
+        self.wait_for_pause_end()
 
-    def settle(self):
-        """Stand still while the process is paused."""
+    def wait_for_pause_end(self):
+        """Suspend the calling task while its process is paused."""
         process = self.process()
         while process and process.resumes_at(self.time) > self.time:
             super().sleep(process.resumes_at(self.time) - self.time)
 
     def poll(self, ready, seconds):
-        """Wait until something is so; return whether it is."""
+        """Wait until a condition holds; return whether it does in time."""
         end = self.time + (seconds if seconds is not None else 1e9)
         while not ready():
             if self.time >= end:
@@ -91,88 +91,90 @@
         self.shut = False
 
     def send(self, data, _flags=0):
-        """Put bytes on their way; a paused reader's socket keeps them."""
+        """Send bytes; the socket of a paused reader buffers them."""
         if self.shut or self.incoming.closed_at is not None:
             raise BrokenPipeError
-        self.outgoing.pieces.append((self.vt.time + WAY_S, data))
+        self.outgoing.pieces.append((self.vt.time + DELIVERY_S, data))
         return len(data)
 
     def recv(self, _size):
-        """Wait for bytes; empty at the end."""
-        self.vt.poll(lambda: self.shut or self._came() or self.ended(), None)
+        """Wait for bytes; return none once the connection is closed."""
+        self.vt.poll(
+            lambda: self.shut or self._has_data() or self.peer_closed(), None
+        )
         if self.shut:
             return b""
-        if self._came():
+        if self._has_data():
             return self.incoming.pieces.popleft()[1]
         return b""
 
-    def _came(self):
+    def _has_data(self):
         pieces = self.incoming.pieces
         return bool(pieces) and pieces[0][0] <= self.vt.time
 
-    def ended(self):
-        """Tell whether the other end has closed, as the system knows it."""
+    def peer_closed(self):
+        """Return whether the close of the other end has arrived."""
         closed_at = self.incoming.closed_at
-        return closed_at is not None and closed_at + WAY_S <= self.vt.time
+        return closed_at is not None and closed_at + DELIVERY_S <= self.vt.time
 
     def shutdown(self, _how):
-        """Close it."""
+        """Close both directions of this end."""
         self.shut = True
         if self.outgoing.closed_at is None:
             self.outgoing.closed_at = self.vt.time
 
     def close(self):
-        """Close it."""
+        """Close the socket."""
         self.shutdown(socket.SHUT_RDWR)
 
     def settimeout(self, _seconds):
-        """Take no note."""
+        """Ignore the timeout."""
 
     def setsockopt(self, *_):
-        """Take no note."""
+        """Ignore the option."""
 
 
 class FakePoll:
-    """Tells of a fake socket whether its other end has closed."""
+    """Poll object that reports whether a fake socket's peer has closed."""
 
     def register(self, sock, _events):
-        """Take the socket."""
+        """Register the socket to poll."""
         self.sock = sock
 
     def poll(self, _timeout):
-        """Return the events."""
-        return [(0, select.POLLRDHUP)] if self.sock.ended() else []
+        """Return the pending events."""
+        return [(0, select.POLLRDHUP)] if self.sock.peer_closed() else []
 
 
 class FleetEvent:
-    """An event that tasks wait for."""
+    """An event in virtual time."""
 
     def __init__(self, vt):
-        self.vt, self.is_on = vt, False
+        self.vt, self.flag = vt, False
 
     def set(self):
-        """Set it."""
-        self.is_on = True
+        """Set the event."""
+        self.flag = True
 
     def clear(self):
-        """Clear it."""
-        self.is_on = False
+        """Clear the event."""
+        self.flag = False
 
     def is_set(self):
-        """Tell whether it is set."""
-        return self.is_on
+        """Return whether the event is set."""
+        return self.flag
 
     def wait(self, timeout=None):
-        """Wait for it."""
+        """Wait for the event; return whether it is set in time."""
         return self.vt.poll(self.is_set, timeout)
 
 
 class FleetCondition:
-    """A condition that tasks wait for."""
+    """A condition variable in virtual time."""
 
     def __init__(self, vt, lock=None):
         self.vt, self.lock = vt, lock or threading.Lock()
-        self.told = 0
+        self.notifications = 0
 
     def __enter__(self):
         self.lock.acquire()
@@ -181,16 +183,16 @@
         self.lock.release()
 
     def wait(self, timeout=None):
-        """Wait to be notified."""
-        before = self.told
+        """Wait for a notification; return whether it came in time."""
+        before = self.notifications
         self.lock.release()
         try:
-            return self.vt.poll(lambda: self.told != before, timeout)
+            return self.vt.poll(lambda: self.notifications != before, timeout)
         finally:
             self.lock.acquire()
 
     def wait_for(self, ready, timeout=None):
-        """Wait until something is so."""
+        """Wait until a predicate holds; return whether it does in time."""
         self.lock.release()
         try:
             return self.vt.poll(ready, timeout)
@@ -198,29 +200,29 @@
             self.lock.acquire()
 
     def notify_all(self):
-        """Wake all that wait."""
-        self.told += 1
+        """Notify all waiting tasks."""
+        self.notifications += 1
 
 
 class FleetQueue:
-    """A queue between tasks."""
+    """A queue in virtual time."""
 
     def __init__(self, vt):
         self.vt, self.items = vt, collections.deque()
 
     def put(self, item):
-        """Put one in."""
+        """Add an item."""
         self.items.append(item)
 
     def empty(self):
-        """Tell whether there is none."""
+        """Return whether the queue is empty."""
         return not self.items
 
     def get(self, timeout=None):
-        """Take one out.
+        """Remove and return the oldest item.
 
         Raises:
-            queue.Empty: There is none in time.
+            queue.Empty: The queue stays empty until the timeout.
         """
         if not self.vt.poll(lambda: bool(self.items), timeout):
             raise queue.Empty
--- a/tests/components/quarantine/seeds.py
+++ b/tests/components/quarantine/seeds.py
@@ -1,4 +1,4 @@
-"""Seeds of tests that draw at random."""
+"""Seeds of the randomised tests."""
 
 import os
 
@@ -6,7 +6,7 @@
 
 
 def seeds(usual):
-    """Return the seeds asked for by hand, or the usual ones.
+    """Return the seeds set in the environment, or the usual ones.
 
     Args:
         usual: First and last seed, as "0-7".
--- a/tests/components/quarantine/test_crash.py
+++ b/tests/components/quarantine/test_crash.py
@@ -15,7 +15,7 @@
 from lacewingdock.platform.store import ObjectStore
 from standins.engine import CRASH_WORD
 from tests.common import chat
-from tests.components.quarantine.common import lost
+from tests.components.quarantine.common import crashed_engines
 
 WORKERS = 4
 SHAPE = Shape(entries=2, workers=WORKERS, booking_workers=1)
@@ -33,15 +33,15 @@
 
 
 def test_a_crashing_request_sent_again_is_quarantined(deployment):
-    """A request takes down one upstream after another.
+    """A request crashes one upstream after another.
 
-    Symptom: the pool shrinks by one upstream for each try.
-    Events: a request crashes its upstream; the entry tries it elsewhere; the
-    caller, refused, sends it again, also through the other entry.
-    Cause: each try sees only an upstream that failed.
+    Symptom: the pool loses one upstream for each attempt.
+    Events: a request crashes its upstream; the entry retries it elsewhere; the
+    caller is refused and sends it again, also through the other entry.
+    Cause: each attempt appears as just another upstream failure.
     """
     replies = [crash(deployment, f"entry-{i % 2}") for i in range(10)]
-    assert len(lost(deployment)) <= 2
+    assert len(crashed_engines(deployment)) <= 2
     assert {r.status for r in replies[1:]} == {422}, replies
     assert {r.json()["code"] for r in replies[1:]} == {"quarantined"}
     assert {r.json()["ran"] for r in replies[1:]} == {"no"}
@@ -50,26 +50,27 @@
 
 
 def test_copies_sent_at_once_through_both_entries(deployment):
-    """Copies of a crashing request arrive before anyone has seen a crash.
+    """Copies of a crashing request arrive before the first crash.
 
-    Symptom: every upstream is lost at the same moment.
-    Events: many copies arrive at both entries at once and are spread.
-    Cause: evidence exists only after a crash, when the others run already.
+    Symptom: all upstreams crash at the same time.
+    Events: many copies arrive at both entries at once and are load balanced.
+    Cause: evidence exists only after a crash, when the other copies already
+    run.
     """
     with ThreadPoolExecutor(20) as pool:
         replies = list(
             pool.map(lambda i: crash(deployment, f"entry-{i % 2}"), range(20))
         )
-    assert len(lost(deployment)) <= 2
+    assert len(crashed_engines(deployment)) <= 2
     assert {r.json()["code"] for r in replies} == {"quarantined"}
 
 
 def test_healthy_requests_in_flight_at_a_crash_are_answered(deployment):
     """Healthy requests share the upstream with one that crashes it.
 
-    Symptom: callers of harmless requests get errors, or are quarantined.
+    Symptom: harmless requests fail or are quarantined.
     Events: they wait for their first token when the upstream crashes.
-    Cause: from outside they look like the one that did it.
+    Cause: from outside they look like the request that caused the crash.
     """
     for index in range(WORKERS):
         call_engine(deployment, index, {"first_s": 1.0})
@@ -85,15 +86,15 @@
             call_engine(deployment, index, {"first_s": 0.02})
         crash(deployment)
         replies = [future.result() for future in healthy]
-    assert len(lost(deployment)) == 2
+    assert len(crashed_engines(deployment)) == 2
     assert {r.status for r in replies} == {200}, [r.body for r in replies]
 
 
 def test_quarantine_outlives_the_daemons_until_released(deployment):
-    """Everything is replaced after a conviction.
+    """All daemons are replaced after a request was quarantined.
 
     Symptom: the request crashes upstreams again after a restart.
-    Cause: what daemons know of it goes with them.
+    Cause: the evidence in the daemons' memory is lost with them.
     """
     crash(deployment)
     store = ObjectStore(deployment.processes["platform"].url())
@@ -113,22 +114,22 @@
             deployment.restart(name)
     deployment.wait_ready()
     assert crash(deployment).json()["code"] == "quarantined"
-    assert not lost(deployment)
+    assert not crashed_engines(deployment)
     deployment.wait_revision(release_quarantine(store, fingerprint))
     crash(deployment)
-    assert len(lost(deployment)) == 2
+    assert len(crashed_engines(deployment)) == 2
 
 
 def test_platform_down(deployment):
     """The platform is down when a request starts to crash upstreams.
 
-    Symptom: the entries learn nothing from each other.
-    Cause: news that only goes through the platform waits for its return.
+    Symptom: the entries do not get each other's evidence.
+    Cause: evidence sent only through the platform waits until it is back.
     """
     deployment.faults(down=True)
     for index in range(6):
         crash(deployment, f"entry-{index % 2}")
-    assert len(lost(deployment)) <= 2
+    assert len(crashed_engines(deployment)) <= 2
     deployment.faults()
     store = ObjectStore(deployment.processes["platform"].url())
     wait_until(lambda: len(list_quarantines(store)) == 1, "not written")
@@ -140,7 +141,7 @@
 
 
 def running(deployment):
-    """Return how many requests run on each engine."""
+    """Return the number of running requests of each engine."""
     return [
         call("GET", f"{p.url()}/status").json()["running"]
         for name, p in deployment.processes.items()
--- a/tests/components/quarantine/test_crash_watch.py
+++ b/tests/components/quarantine/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""Tests for noticing crashes, with a fake upstream."""
+"""Tests for the detection of crashes, with a fake upstream."""
 
 import contextlib
 
@@ -15,27 +15,27 @@
 
 
 class FakeUpstream:
-    """What the next probes find, the last one from then on."""
+    """An upstream with scripted probe results; the last one repeats."""
 
     def __init__(self, *found):
         self.found = list(found)
         self.reports = []
-        self.doubts = []
+        self.unresolved = []
 
     def probe(self):
-        """Answer one probe."""
+        """Return or raise the next probe result."""
         found = self.found.pop(0) if len(self.found) > 1 else self.found[0]
         if isinstance(found, Exception):
             raise found
         return found
 
-    def watch(self):
-        """Return a watch on this upstream."""
+    def detector(self):
+        """Return a crash detector for this upstream."""
         return CrashDetector(
             "w",
             self.probe,
             lambda *report: self.reports.append(report),
-            lambda *doubt: self.doubts.append(doubt[1:]),
+            lambda *loss: self.unresolved.append(loss[1:]),
         )
 
 
@@ -44,19 +44,19 @@
     [
         (["one", None], UpstreamLost("reset"), 1),
         (["one", "two"], UpstreamLost("reset"), 1),
-        # The connection broke and the upstream lives.
+        # The connection broke, but the upstream is still running.
         (["one", "one"], UpstreamLost("reset"), 0),
         (["one", HANGS], UpstreamLost("reset"), 0),
         (["", ""], UpstreamLost("reset"), 0),
         (["", None], UpstreamLost("reset"), 1),
-        # A refusal or a deadline proves nothing.
+        # A refusal or a deadline does not indicate a crash.
         (["one", None], LacewingdockError(ErrorKind.DEADLINE, "late"), 0),
     ],
 )
 def test_what_counts_as_a_crash(found, error, crashes):
     upstream = FakeUpstream(*found)
-    watch = upstream.watch()
-    with pytest.raises(LacewingdockError), watch.call("f", False):
+    detector = upstream.detector()
+    with pytest.raises(LacewingdockError), detector.call("f", False):
         raise error
     assert len(upstream.reports) == crashes
 
@@ -72,16 +72,16 @@
 )
 def test_one_crash_is_told_once_with_all_in_flight(calls, isolated):
     upstream = FakeUpstream("one", None)
-    watch = upstream.watch()
+    detector = upstream.detector()
     with contextlib.ExitStack() as stack:
         stack.enter_context(contextlib.suppress(UpstreamLost))
         for fingerprint, alone in calls:
             stack.enter_context(contextlib.suppress(UpstreamLost))
-            stack.enter_context(watch.call(fingerprint, alone))
+            stack.enter_context(detector.call(fingerprint, alone))
         stack.callback(_lose)
-    ((_, told_isolated, fingerprints),) = upstream.reports
+    ((_, reported_isolated, fingerprints),) = upstream.reports
     assert fingerprints == [f for f, _ in calls]
-    assert told_isolated is isolated
+    assert reported_isolated is isolated
 
 
 def _lose():
@@ -89,83 +89,84 @@
 
 
 def test_a_refused_connection_shows_the_crash_of_the_others():
-    """Copies come while the upstream crashes under the first of them.
+    """Copies of a request arrive while the first copy crashes the upstream.
 
-    Symptom: one copy is sent on to the next upstream as if nothing were
-    known, and takes it down too.
+    Symptom: a copy is sent to the next upstream as if there were no evidence,
+    and crashes that upstream too.
     Events: a later copy's connection is refused before the first copy's is
-    reset; its refusal reaches the entry ahead of the evidence.
-    Cause: only a reset connection was looked into.
+    reset; its refusal reaches the entry before the evidence.
+    Cause: only a reset connection led to a crash check.
     """
     upstream = FakeUpstream("one", None)
-    watch = upstream.watch()
-    with watch.call("f", False):
-        with pytest.raises(UpstreamLost), watch.call("g", False):
+    detector = upstream.detector()
+    with detector.call("f", False):
+        with pytest.raises(UpstreamLost), detector.call("g", False):
             raise UpstreamLost("refused", "no")
         assert [r[2] for r in upstream.reports] == [["f"]]
 
 
 def test_no_call_while_the_upstream_is_down():
-    """A request comes between the crash and the upstream's return.
+    """A request arrives between a crash and the upstream's restart.
 
-    Symptom: it counts as in flight at a crash that it had no part in.
-    Cause: it failed to connect, which looks like another crash.
+    Symptom: the request counts as in flight at a crash that it did not cause.
+    Cause: its failed connection looks like another crash.
     """
     upstream = FakeUpstream("one", None, None, "two")
-    watch = upstream.watch()
-    with contextlib.suppress(UpstreamLost), watch.call("f", False):
+    detector = upstream.detector()
+    with contextlib.suppress(UpstreamLost), detector.call("f", False):
         raise UpstreamLost("reset")
     with (
         pytest.raises(LacewingdockError) as refused,
-        watch.call("g", False),
+        detector.call("g", False),
     ):
         pytest.fail("it must not be called")
     assert refused.value.ran == "no"
-    with watch.call("g", False):
+    with detector.call("g", False):
         pass
     assert [r[2] for r in upstream.reports] == [["f"]]
 
 
 def test_a_poll_sees_a_restart_that_no_call_noticed():
-    """The upstream's machine vanishes; its connections just hang.
+    """The upstream's machine fails, and its connections hang.
 
-    Symptom: what it ran is not suspect until the calls run out of time.
+    Symptom: the requests in flight are not suspect until their calls time out.
     Cause: nothing resets the connections.
     """
     upstream = FakeUpstream("one")
-    watch = upstream.watch()
-    watch.observe_incarnation("one")
-    with watch.call("f", False):
-        watch.observe_incarnation("two")
-        watch.observe_incarnation("two")
+    detector = upstream.detector()
+    detector.observe_incarnation("one")
+    with detector.call("f", False):
+        detector.observe_incarnation("two")
+        detector.observe_incarnation("two")
     assert [r[2] for r in upstream.reports] == [["f"]]
 
 
 @pytest.mark.parametrize("seen_by", ["poll", "probe"])
 @pytest.mark.parametrize(("later", "crashes"), [("one", 0), ("two", 1)])
 def test_what_the_probe_can_not_tell_is_told_later(seen_by, later, crashes):
-    """A crash is never told where the upstream's next start hangs at first.
+    """A crash is never reported if the restarted upstream hangs at first.
 
-    Symptom: a crashing request takes an upstream more, without evidence.
-    Events: the upstream crashes; its next start listens and does not answer.
-    Cause: a probe without an answer counted as no crash, for good.
+    Symptom: a crashing request crashes one more upstream for lack of evidence.
+    Events: the upstream crashes; after its restart it listens, but does not
+    answer yet.
+    Cause: a probe without an answer was finally counted as no crash.
     """
     upstream = FakeUpstream("one", HANGS, later)
-    watch = upstream.watch()
-    with contextlib.suppress(UpstreamLost), watch.call("f", True):
+    detector = upstream.detector()
+    with contextlib.suppress(UpstreamLost), detector.call("f", True):
         raise UpstreamLost("reset")
-    assert upstream.doubts == [("f", False)]
+    assert upstream.unresolved == [("f", False)]
     assert not upstream.reports
     if seen_by == "poll":
-        watch.observe_incarnation(later)
+        detector.observe_incarnation(later)
     else:
-        with contextlib.suppress(UpstreamLost), watch.call("g", False):
+        with contextlib.suppress(UpstreamLost), detector.call("g", False):
             raise UpstreamLost("reset")
-    assert upstream.doubts == [("f", False), ("f", True)]
+    assert upstream.unresolved == [("f", False), ("f", True)]
     assert len(upstream.reports) == crashes
     for _, isolated, fingerprints in upstream.reports:
         assert "f" in fingerprints
         assert isolated is (seen_by == "poll")
-    # What is decided is not told with a later crash.
-    watch.observe_incarnation("three")
+    # A resolved call is not reported with a later crash.
+    detector.observe_incarnation("three")
     assert len(upstream.reports) == crashes
--- a/tests/components/quarantine/test_evidence.py
+++ b/tests/components/quarantine/test_evidence.py
@@ -1,4 +1,4 @@
-"""Tests for the weighing of evidence, with fakes."""
+"""Tests for the verdicts on evidence, with fakes."""
 
 import itertools
 
@@ -52,14 +52,14 @@
     [
         ([], QuarantineVerdict.CLEAR),
         ([crash("a/1")], QuarantineVerdict.SUSPECT),
-        # In flight at two crashes, never alone: it may be merely popular.
+        # In flight at two crashes, never alone: it may just be frequent.
         ([crash("a/1"), crash("b/1")], QuarantineVerdict.SUSPECT),
         (
             [crash("a/1"), crash("b/1", isolated=True)],
             QuarantineVerdict.QUARANTINED,
         ),
         ([crash("a/1", isolated=True)], QuarantineVerdict.SUSPECT),
-        # A broken upstream must not convict by itself at the second crash.
+        # A second crash of the same, broken upstream must not quarantine.
         (
             [crash("a/1"), crash("a/2", isolated=True)],
             QuarantineVerdict.SUSPECT,
@@ -72,7 +72,7 @@
             ],
             QuarantineVerdict.QUARANTINED,
         ),
-        # The same crash told twice is one crash.
+        # A crash that is reported twice is one crash.
         (
             [crash("a/1"), crash("a/1", isolated=True)],
             QuarantineVerdict.SUSPECT,
@@ -110,9 +110,9 @@
 
 @CHECKED
 @given(st.lists(EVIDENCE, max_size=8), st.randoms())
-def test_order_and_repeats_do_not_matter(evidence, source):
+def test_order_and_repeats_do_not_matter(evidence, rng):
     shuffled = [*evidence, *evidence]
-    source.shuffle(shuffled)
+    rng.shuffle(shuffled)
     first, second = table_of(evidence), table_of(shuffled)
     for fingerprint in "fgh":
         verdicts = {t.get(fingerprint).verdict() for t in (first, second)}
@@ -152,7 +152,7 @@
 @CHECKED
 @given(st.lists(EVIDENCE, max_size=8))
 def test_only_news_is_passed_on(evidence):
-    """News that went on for ever would circle between the daemons."""
+    """Evidence forwarded without being new would loop between daemons."""
     table = table_of(evidence)
     assert not any(table.merge(one, NOW) for one in evidence)
 
@@ -177,8 +177,8 @@
 def test_memory_is_bounded_and_convictions_stay():
     """A caller crashes upstreams with ever new bodies.
 
-    Symptom: memory grows, or what was convicted runs again.
-    Cause: each body is another fingerprint with a record of its own.
+    Symptom: memory grows, or quarantined requests run again.
+    Cause: each body has a fingerprint and a record of its own.
     """
     table = table_of([crash("a/1"), crash("b/1", isolated=True)])
     names = [f"s{i}" for i in range(MAX_RECORDS + 10)]
--- a/tests/components/quarantine/test_losses.py
+++ b/tests/components/quarantine/test_losses.py
@@ -1,4 +1,4 @@
-"""Tests for attempts of which nobody knows what became, with fakes."""
+"""Tests for lost attempts, whose outcome is unknown, with fakes."""
 
 import random
 import threading
@@ -32,7 +32,7 @@
 
 
 class FakeLink:
-    """Takes what is sent."""
+    """A link that records the frames that are sent."""
 
     def __init__(self, instance="w0", incarnation="i"):
         self.closed = False
@@ -40,7 +40,7 @@
         self.peer = SimpleNamespace(instance=instance, incarnation=incarnation)
 
     def send(self, message):
-        """Keep a frame."""
+        """Record a frame."""
         self.sent.append(message)
         return True
 
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def quarantine(monkeypatch):
-    """Of an entry that waits neither for news nor for silent sidecars."""
+    """Quarantine of an entry that waits for no evidence or silent sidecar."""
     for name in ("MAX_WAIT_S", "EVIDENCE_DELAY_S"):
         monkeypatch.setattr(f"lacewingdock.components.quarantine.{name}", 0.0)
     links = {FakeLink("w0"), FakeLink("w1")}
@@ -75,8 +75,8 @@
     quarantine._on_evidence(None, evidence)
 
 
-def told(quarantine):
-    """Return the evidence that went over the first link."""
+def sent_evidence(quarantine):
+    """Return the evidence that was sent over the first link."""
     first = next(iter(quarantine.peers.links))
     return [m for m in first.sent if isinstance(m, Evidence)]
 
@@ -90,17 +90,17 @@
 @pytest.mark.parametrize(
     ("lost", "crashed", "silent", "allowed"),
     [
-        # A silent upstream alone moves the request on, as it must.
+        # A single silent upstream must not block the request.
         (["w0"], [], ["w0"], {"w1", "w2", "w3"}),
-        # With two of them it may have crashed both.
+        # With two silent upstreams it may have crashed both.
         (["w0", "w1"], [], ["w0", "w1"], None),
         (["w0", "w1"], [], ["w0"], {"w1"}),
-        # A crash and a silent one: it stays with the silent one.
+        # A crash and a silent upstream: it stays with the silent one.
         (["w0"], ["w1"], ["w0"], None),
         (["w0"], ["w1"], [], {"w0"}),
         ([], ["w1"], [], {"w0", "w2", "w3"}),
-        # Two crashes, never alone: it may be harmless, and runs where no
-        # other upstream is risked.
+        # Two crashes, never alone: it may be harmless, and runs where it puts
+        # no other upstream at risk.
         ([], ["w0", "w1"], [], {"w0", "w1"}),
         ([], ["w0", "w1"], ["w0", "w1"], None),
         (["w2"], ["w0", "w1"], [], {"w2"}),
@@ -109,12 +109,12 @@
 def test_a_request_endangers_two_upstreams(
     quarantine, lost, crashed, silent, allowed
 ):
-    """A request goes to a third upstream while two may be lost to it.
+    """A request goes to a third upstream while it may have crashed two.
 
-    Symptom: three or more engines are lost beside a pause.
-    Events: copies run at one upstream that crashes and at one whose sidecar
-    is silent.
-    Cause: an attempt of which nothing is known counted as harmless.
+    Symptom: three or more engines crash during a pause.
+    Events: copies run at an upstream that crashes and at one whose sidecar is
+    silent.
+    Cause: an attempt with an unknown outcome counted as harmless.
     """
     for index, name in enumerate(lost):
         quarantine.record_loss(loss(name, f"a{index}"), abandoned=True)
@@ -136,11 +136,11 @@
 
 
 def test_suspect_stays_with_a_silent_host(quarantine):
-    """A suspect is run by a second host while copies run at the first.
+    """A suspect runs on a second host while copies run on the first.
 
-    Symptom: one engine more is lost for each host that is silent.
-    Events: the host of a suspect is paused while it runs it.
-    Cause: what is silent was no candidate, so the next one became the host.
+    Symptom: one more engine crashes for each host that is silent.
+    Events: the host of a suspect is paused while it runs the suspect.
+    Cause: a silent upstream was no candidate, so the next one became the host.
     """
     crash(quarantine, "w0")
     candidates = [upstream(n) for n in NAMES]
@@ -149,7 +149,7 @@
     with pytest.raises(LacewingdockError) as caught:
         choose(quarantine, candidates)
     assert caught.value.retry_after_s
-    # One that is known to be gone runs nothing any more.
+    # An upstream that is known to be gone runs no copies any more.
     left = [u for u in candidates if u.name != host]
     assert choose(quarantine, left) != host
 
@@ -170,81 +170,87 @@
 
 @pytest.mark.parametrize("left", ["lost", "open"])
 def test_losses_are_told_once_they_matter(quarantine, left):
-    """Entries that do not know of each other's losses choose apart.
+    """Entries that do not share their losses choose different upstreams.
 
-    Symptom: a third engine is lost beside a pause, through two entries.
+    Symptom: a third engine crashes during a pause, through two entries.
     Events: copies through one entry are at a silent upstream, those through
-    the other crash another one; the other isolates them at a third.
-    Cause: only who sent an attempt knew that nothing came of it.
+    the other crash another upstream and are then isolated at a third one.
+    Cause: only the entry that sent an attempt knew that it was lost.
     """
     if left == "lost":
         quarantine.record_loss(loss("w1"), abandoned=True)
     else:
         track_attempt = quarantine.track_attempt(F, upstream("w1"))
         track_attempt.__enter__()
-    assert not told(quarantine)
+    assert not sent_evidence(quarantine)
     crash(quarantine, "w0")
-    unresolved = [e for e in told(quarantine) if e.unresolved]
+    unresolved = [e for e in sent_evidence(quarantine) if e.unresolved]
     assert [e.crash.partition("/")[0] for e in unresolved] == ["w1"]
     other = EvidenceTable()
-    for evidence in told(quarantine):
+    for evidence in sent_evidence(quarantine):
         other.merge(evidence, time.monotonic())
     assert other.get(F).unresolved_instances() == {"w1"}
     if left == "lost":
         quarantine.resolve_loss("a")
     else:
         track_attempt.__exit__(None, None, None)
-    for evidence in told(quarantine):
+    for evidence in sent_evidence(quarantine):
         other.merge(evidence, time.monotonic())
     assert other.get(F).unresolved_instances() == set()
     assert other.get(F).verdict() is QuarantineVerdict.SUSPECT
 
 
 def test_loss_that_is_resolved_while_it_is_told_is_taken_back():
-    """A request is held back for a minute although nothing is in doubt.
+    """A request is refused for a minute although no loss is unresolved.
 
     Symptom: callers of a harmless request are refused after a pause.
-    Events: an entry tells of a loss in one task, another task resolves it.
-    Cause: when it was resolved there was nothing told yet to take back.
+    Events: an entry publishes a loss in one task while another resolves it.
+    Cause: when the loss was resolved, it had no published id to retract yet.
     """
-    lost_attempts, told = LostAttempts(), []
+    lost_attempts, sent_evidence = LostAttempts(), []
 
     def broadcast(evidence):
-        told.append(evidence.excused)
+        sent_evidence.append(evidence.excused)
         lost_attempts.remove("a")
 
     lost_attempts.add(loss("w1"))
-    news = LossPublisher(lost_attempts, Placement(), broadcast)
-    news.update(F, BlastRadius({"w0"}, {"w1"}, 0.0))
-    assert told == [False, True]
+    publisher = LossPublisher(lost_attempts, Placement(), broadcast)
+    publisher.update(F, BlastRadius({"w0"}, {"w1"}, 0.0))
+    assert sent_evidence == [False, True]
 
 
 def test_loss_is_told_once_by_two_tasks():
-    """Symptom: the first of two ids of one loss is never taken back."""
-    lost_attempts, told = LostAttempts(), []
+    """Two tasks that publish a loss must use the same id.
+
+    Symptom: the first of two ids of one loss is never retracted.
+    """
+    lost_attempts, sent_evidence = LostAttempts(), []
 
     def broadcast(evidence):
-        told.append(evidence.crash)
-        if len(told) == 1:
-            news.update(F, radius)
+        sent_evidence.append(evidence.crash)
+        if len(sent_evidence) == 1:
+            publisher.update(F, radius)
 
     lost_attempts.add(loss("w1"))
     radius = BlastRadius({"w0"}, {"w1"}, 0.0)
-    news = LossPublisher(lost_attempts, Placement(), broadcast)
-    news.update(F, radius)
+    publisher = LossPublisher(lost_attempts, Placement(), broadcast)
+    publisher.update(F, radius)
     lost_attempts.remove("a")
-    news.retract(F, "w1")
-    assert len(told) == 2
-    assert len(set(told)) == 1
+    publisher.retract(F, "w1")
+    assert len(sent_evidence) == 2
+    assert len(set(sent_evidence)) == 1
 
 
 def test_harmless_losses_are_not_told(quarantine):
-    """Symptom: each pause floods the fleet with news of every request."""
+    """Losses of requests below the limit are not published.
+
+    Symptom: each pause floods the fleet with evidence on every request.
+    """
     for index in range(50):
         quarantine.record_loss(
             loss("w0", f"a{index}", f"f{index}"), abandoned=True
         )
-    assert not told(quarantine)
+    assert not sent_evidence(quarantine)
 
 
 @pytest.mark.parametrize(
@@ -335,7 +341,7 @@
     ("gone", "linked", "age_s", "refusal_of", "left"),
     [
         (False, True, 0.0, "w0", False),
-        # Only the sidecar itself may say what became of an attempt.
+        # Only the sidecar itself may report the outcome of an attempt.
         (False, True, 0.0, "w1", True),
         (False, False, 0.0, None, True),
         (True, False, 0.0, None, False),
@@ -355,7 +361,7 @@
     lost = loss("w0", since=time.monotonic() - age_s)
     quarantine.record_loss(lost)
     loss_resolver.send_queries()
-    # Its entry still waits for the answer over a new link.
+    # The entry still waits for the answer over a new link.
     assert not linked or not silent.link.sent
     quarantine.record_loss(lost, abandoned=True)
     loss_resolver.send_queries()
--- a/tests/components/quarantine/test_pauses.py
+++ b/tests/components/quarantine/test_pauses.py
@@ -13,26 +13,26 @@
 from bench.http import call
 from standins.engine import CRASH_WORD
 from tests.common import chat
-from tests.components.quarantine.common import lost, untrue
+from tests.components.quarantine.common import crashed_engines, false_refusals
 
 WORKERS = 4
 COPIES = 20
 SHAPE = Shape(entries=2, workers=WORKERS, booking_workers=1)
-# Longer than a suspicion is held back, so that what was given up has run by
-# then if it ever does.
+# Seconds after which abandoned attempts have run if they ever do; longer than
+# a suspect is held back.
 SETTLED_S = 2.0
 
 
 @dataclass(slots=True)
 class Pause:
-    """Processes that are stopped and continued while copies arrive.
+    """A pause of processes while copies arrive.
 
     Attributes:
         names: The processes.
         lasts_s: Seconds from stop to continue.
-        crash_after_s: Seconds that the request runs before it crashes.
-        after_s: Seconds between the first copy and the stop; negative for a
-            stop ahead of the copies.
+        crash_after_s: Seconds between the start of a request and its crash.
+        after_s: Seconds from the first copy to the stop; negative if the
+            stop precedes the copies.
     """
 
     names: tuple[str, ...]
@@ -41,7 +41,7 @@
     after_s: float = -0.05
 
     def __str__(self):
-        """Name the case."""
+        """Return the name of the test case."""
         when = "before" if self.after_s < 0 else "while it runs"
         return f"{'+'.join(self.names)}-{self.lasts_s}s-{when}"
 
@@ -55,14 +55,14 @@
 
 
 def set_crash_after(deployment, workers, seconds):
-    """Let a crashing request run for so long before it crashes."""
+    """Set the seconds that a crashing request runs before it crashes."""
     for index in range(workers):
         engine = deployment.processes[f"engine-{index}"]
         call("POST", f"{engine.url()}/control", {"crash_after_s": seconds})
 
 
 def pause(deployment, case):
-    """Stop the processes at their time, and let them go on."""
+    """Stop the processes for the time of the pause, then continue them."""
     time.sleep(max(0.0, case.after_s))
     for name in case.names:
         deployment.processes[name].signal(signal.SIGSTOP)
@@ -72,7 +72,7 @@
 
 
 def send_copies(deployment, case):
-    """Send the copies at once through both entries beside the pause."""
+    """Send the copies at once through both entries during the pause."""
     set_crash_after(deployment, WORKERS, case.crash_after_s)
     pauser = threading.Thread(target=pause, args=(deployment, case))
     pauser.start()
@@ -111,20 +111,23 @@
 
 @pytest.mark.parametrize("case", CASES, ids=str)
 def test_pauses_do_not_cost_a_third_engine(deployment, case):
-    """Copies of a crashing request take a third engine beside a pause.
+    """Copies of a crashing request crash a third engine during a pause.
 
-    Symptom: three or all engines are lost; harmless callers get 503.
-    Events: a daemon is paused with copies in its sockets or on its engine;
-    the entries send them elsewhere, and it begins them when it goes on.
-    Cause: what was given up still runs, and a loss of which nothing is known
+    Symptom: three or all engines crash; harmless requests get 503.
+    Events: a daemon is paused with copies in its sockets or on its engine; the
+    entries send them elsewhere, and the daemon starts them when it continues.
+    Cause: abandoned attempts still run, and an attempt with an unknown outcome
     counts as harmless.
     """
     replies = send_copies(deployment, case)
     seen = sorted(
         (r.status, r.json().get("code"), r.json().get("ran")) for r in replies
     )
-    assert len(lost(deployment)) <= 2, (lost(deployment), seen)
-    assert not untrue(deployment, replies)
+    assert len(crashed_engines(deployment)) <= 2, (
+        crashed_engines(deployment),
+        seen,
+    )
+    assert not false_refusals(deployment, replies)
     for index in range(4):
         reply = chat(deployment, f"a wardrobe {index}", entry="entry-0")
         assert reply.status == 200, reply.body
--- a/tests/components/quarantine/test_placing.py
+++ b/tests/components/quarantine/test_placing.py
@@ -1,4 +1,4 @@
-"""Tests for where requests and suspects go, with fakes."""
+"""Tests for the placement of requests and suspects, with fakes."""
 
 import random
 
@@ -56,12 +56,12 @@
     st.lists(st.sampled_from(NAMES), min_size=1, unique=True),
     st.randoms(),
 )
-def test_entries_agree_on_the_upstream(fingerprint, names, source):
-    """Copies come through entries that drew their random numbers apart."""
-    shuffled = source.sample(names, len(names))
+def test_entries_agree_on_the_upstream(fingerprint, names, rng):
+    """Copies come through entries with independent random numbers."""
+    shuffled = rng.sample(names, len(names))
     chosen = {
         Placement()
-        .choose(fingerprint, [upstream(n) for n in order], (), source)
+        .choose(fingerprint, [upstream(n) for n in order], (), rng)
         .name
         for order in (names, shuffled)
     }
@@ -98,7 +98,7 @@
     [
         (False, False, False, True),
         (False, False, True, False),
-        # While a copy is open there, load does not matter.
+        # While a copy is pending there, load does not matter.
         (True, False, True, True),
         (True, True, True, False),
     ],
@@ -106,18 +106,16 @@
 def test_when_a_copy_goes_to_the_same_upstream(
     opened, succeeded, loaded, stays
 ):
-    placement, source = Placement(), random.Random(1)
+    placement, rng = Placement(), random.Random(1)
     candidates = [upstream(n) for n in NAMES]
-    first = placement.choose("f", candidates, (), source)
+    first = placement.choose("f", candidates, (), rng)
     if opened:
         placement.attempt_started("f", first.name)
     if succeeded:
         placement.record_success("f")
     if loaded:
         first.take_news(Status(["v"], 10, 5, 10))
-    again = {
-        placement.choose("f", candidates, (), source).name for _ in range(20)
-    }
+    again = {placement.choose("f", candidates, (), rng).name for _ in range(20)}
     assert (again == {first.name}) is stays
 
 
--- a/tests/components/quarantine/test_random_pauses.py
+++ b/tests/components/quarantine/test_random_pauses.py
@@ -1,7 +1,7 @@
-"""Tests for random pauses beside a crashing request and harmless ones.
+"""Tests for random pauses with crashing and harmless requests.
 
-More seeds by hand: TEST_PAUSE_SEEDS="0-49" with pytest's -s, which
-shows what each seed drew and what became of it.
+To run other seeds, set TEST_PAUSE_SEEDS="0-49"; pytest's -s shows the
+parameters and the result of each seed.
 """
 
 import random
@@ -17,7 +17,7 @@
 from bench.example import apply_example
 from standins.engine import CRASH_WORD
 from tests.common import chat
-from tests.components.quarantine.common import lost, untrue
+from tests.components.quarantine.common import crashed_engines, false_refusals
 from tests.components.quarantine.seeds import seeds
 from tests.components.quarantine.test_pauses import (
     SETTLED_S,
@@ -31,15 +31,15 @@
 
 
 @dataclass(slots=True)
-class Drawn:
-    """What one seed draws.
+class Scenario:
+    """The parameters drawn from a seed.
 
     Attributes:
-        workers: Engines with their sidecars.
-        entries: Entries.
-        pauses: One or two, each of one process.
+        workers: Number of engines with their sidecars.
+        entries: Number of entries.
+        pauses: One or two pauses, each of one process.
         copies: Seconds after the start at which each copy is sent.
-        harmless: The same of harmless requests.
+        harmless: Seconds after the start for each harmless request.
     """
 
     workers: int
@@ -50,30 +50,30 @@
 
 
 def draw(seed):
-    source = random.Random(seed)
-    workers = source.choice([1, 2, 3, 4, 4, 6, 8, 12])
-    entries = source.randint(1, 4)
+    rng = random.Random(seed)
+    workers = rng.choice([1, 2, 3, 4, 4, 6, 8, 12])
+    entries = rng.randint(1, 4)
     names = [f"worker-{i}" for i in range(workers)] * 3
     names += [f"engine-{i}" for i in range(workers)]
     names += [f"entry-{i}" for i in range(entries)]
     names.append("platform")
-    crash_after_s = source.choice([0.0, 0.0, source.uniform(0.0, 1.0)])
-    paused = set(source.sample(names, min(source.randint(1, 2), len(names))))
+    crash_after_s = rng.choice([0.0, 0.0, rng.uniform(0.0, 1.0)])
+    paused = set(rng.sample(names, min(rng.randint(1, 2), len(names))))
     pauses = [
-        Pause((name,), source.uniform(0.0, 10.0), crash_after_s, after_s)
+        Pause((name,), rng.uniform(0.0, 10.0), crash_after_s, after_s)
         for name in sorted(paused)
-        for after_s in [source.uniform(0.0, 2.0)]
+        for after_s in [rng.uniform(0.0, 2.0)]
     ]
-    # All at once, or one after the other.
-    spread_s = source.choice([0.0, 0.05, 1.5])
-    count = source.choice([1, 2, 5, 20, 50, 100])
-    begin_s = source.uniform(0.0, 1.0)
-    return Drawn(
+    # All copies at once, or spread over a period in seconds.
+    spread_s = rng.choice([0.0, 0.05, 1.5])
+    count = rng.choice([1, 2, 5, 20, 50, 100])
+    begin_s = rng.uniform(0.0, 1.0)
+    return Scenario(
         workers,
         entries,
         pauses,
-        sorted(begin_s + source.uniform(0, spread_s) for _ in range(count)),
-        sorted(source.uniform(0.0, SPAN_S) for _ in range(HARMLESS)),
+        sorted(begin_s + rng.uniform(0, spread_s) for _ in range(count)),
+        sorted(rng.uniform(0.0, SPAN_S) for _ in range(HARMLESS)),
     )
 
 
@@ -82,18 +82,18 @@
     return chat(deployment, prompt, entry=f"entry-{entry}")
 
 
-def play(deployment, drawn, seed):
-    """Send everything at its time; returns the two kinds of replies."""
-    source = random.Random(seed)
-    set_crash_after(deployment, drawn.workers, drawn.pauses[0].crash_after_s)
+def play(deployment, case, seed):
+    """Send all requests; return the replies to copies and harmless ones."""
+    rng = random.Random(seed)
+    set_crash_after(deployment, case.workers, case.pauses[0].crash_after_s)
     start = time.monotonic()
     pausers = [
         threading.Thread(target=pause, args=(deployment, one))
-        for one in drawn.pauses
+        for one in case.pauses
     ]
     for pauser in pausers:
         pauser.start()
-    with ThreadPoolExecutor(len(drawn.copies) + HARMLESS) as pool:
+    with ThreadPoolExecutor(len(case.copies) + HARMLESS) as pool:
 
         def submit(times, prompt_of):
             return [
@@ -103,14 +103,14 @@
                     start,
                     at_s,
                     prompt_of(index),
-                    source.randrange(drawn.entries),
+                    rng.randrange(case.entries),
                 )
                 for index, at_s in enumerate(times)
             ]
 
-        copies = submit(drawn.copies, lambda _: f"sofa {CRASH_WORD}")
-        # Every second one is sent twice.
-        harmless = submit(drawn.harmless, lambda i: f"plan {i - i % 4 // 3}")
+        copies = submit(case.copies, lambda _: f"sofa {CRASH_WORD}")
+        # In each group of four, the last two requests have equal bodies.
+        harmless = submit(case.harmless, lambda i: f"plan {i - i % 4 // 3}")
     for pauser in pausers:
         pauser.join()
     time.sleep(SETTLED_S)
@@ -128,22 +128,22 @@
 
 @pytest.mark.parametrize("seed", seeds("0-2"))
 def test_random_pauses_cost_two_engines_at_most(seed):
-    """Symptom: engines are lost, or harmless requests quarantined.
+    """Symptom: more engines crash, or harmless requests are quarantined.
 
     Events: any one or two processes are paused at any moment while copies of
     a crashing request and harmless requests are sent.
     """
-    drawn = draw(seed)
-    shape = Shape(entries=drawn.entries, workers=drawn.workers)
+    case = draw(seed)
+    shape = Shape(entries=case.entries, workers=case.workers)
     with Deployment(shape) as deployment:
         apply_example(deployment)
         deployment.wait_links()
-        copies, harmless = play(deployment, drawn, seed)
-        down = lost(deployment)
-        false = untrue(deployment, copies)
+        copies, harmless = play(deployment, case, seed)
+        down = crashed_engines(deployment)
+        false = false_refusals(deployment, copies)
         print(
-            f"seed {seed}: {drawn.workers} workers, {drawn.entries} entries,"
-            f" {len(drawn.copies)} copies, {[str(p) for p in drawn.pauses]},"
+            f"seed {seed}: {case.workers} workers, {case.entries} entries,"
+            f" {len(case.copies)} copies, {[str(p) for p in case.pauses]},"
             f" lost {down}, copies {codes(copies)},"
             f" harmless {codes(harmless)}",
             flush=True,
--- a/tests/components/quarantine/virtual_fleet.py
+++ b/tests/components/quarantine/virtual_fleet.py
@@ -1,9 +1,9 @@
-"""Entries and sidecars in a time of their own, with pauses of processes.
+"""Simulation of entries and sidecars in virtual time, with process pauses.
 
-All between a caller's request and the upstream is the real code: links and
-their frames, membership, answers, tries, the gate, slots and evidence. Sockets,
-engines, waiting and the clock are replaced. A paused process runs no task; what
-is sent to it waits, and its connections stay open.
+The code between a caller's request and the upstream is real: links and their
+frames, membership, answers, retries, the gate, slots and evidence. Sockets,
+engines, waiting and the clock are replaced. A paused process runs no task; data
+sent to it is buffered, and its connections stay open.
 """
 
 import itertools
@@ -58,14 +58,14 @@
 
 
 class Links(dict):
-    """A set of links in the order in which they came."""
+    """A set of links in insertion order."""
 
     def add(self, link):
-        """Put one in."""
+        """Add a link."""
         self[link] = None
 
     def discard(self, link):
-        """Take one out."""
+        """Remove a link."""
         self.pop(link, None)
 
 
@@ -82,10 +82,10 @@
         self.closed_traffic = link_module.Traffic()
 
     def hold(self, address):
-        """Open a link to a sidecar and read it to its end."""
+        """Open a link to a sidecar and read it until it closes."""
         vt = self.fleet.vt
         other = self.fleet.sidecars[int(address.rpartition(":")[2]) - 1]
-        # The system takes the connection; the process answers or not.
+        # The kernel accepts the connection even if the process is paused.
         if not vt.poll(
             lambda: other.process.resumes_at(vt.time) <= vt.time, HANDSHAKE_S
         ):
@@ -98,13 +98,13 @@
         self.read(near)
 
     def read(self, link):
-        """Read a link to its end."""
+        """Read a link until it closes."""
         self._open(link)
         self._read(link)
 
 
 class FleetDaemon:
-    """What components need of a daemon."""
+    """The part of a daemon that components use."""
 
     def __init__(self, fleet, process, role, number):
         self.fleet, self.process = fleet, process
@@ -116,14 +116,14 @@
         self.settings = None
 
     def add(self, *_):
-        """Take a component in."""
+        """Ignore a component."""
 
     def spawn(self, function, *args):
-        """Start a task."""
+        """Start a task of the process."""
         self.fleet.vt.start_in(self.process, function, *args)
 
     def every(self, interval_s, function):
-        """Run a function again and again."""
+        """Run a function at an interval."""
 
         def rounds():
             while True:
@@ -134,23 +134,23 @@
 
 
 class Engine:
-    """An upstream that a crashing request ends.
+    """An upstream that a crashing request terminates.
 
     Attributes:
-        starts: How often it was started.
-        alive: Whether it runs.
-        crashed: Whether it ever crashed.
+        starts: Number of starts.
+        alive: Whether the engine runs.
+        crashed: Whether the engine ever crashed.
     """
 
     def __init__(self):
         self.starts, self.alive, self.crashed = 1, True, False
 
     def crash(self):
-        """End it."""
+        """Terminate the engine."""
         self.alive, self.crashed = False, True
 
     def probe(self):
-        """Return its incarnation; None when nothing listens."""
+        """Return the incarnation; None when nothing listens."""
         return str(self.starts) if self.alive else None
 
 
@@ -183,7 +183,7 @@
             SimpleNamespace(on_end=lambda *_: None, check_room=lambda: None),
         )
         self.runs.crashes.probe = self.engine.probe
-        # Its default was bound before the clock was replaced.
+        # The default clock was bound before the clock was replaced.
         self.runs.shelf.clock = fleet.vt.now
         self.runs.targets = [TARGET]
         self.daemon.every(0.2, self.peers.pace)
@@ -191,14 +191,14 @@
         self.daemon.every(1.0, self.poll)
 
     def poll(self):
-        """Ask the engine for its state, as the sidecar does."""
+        """Poll the engine's state as the sidecar does."""
         if self.engine.alive:
             self.runs.crashes.observe_incarnation(self.engine.probe())
             self.runs.set_targets([TARGET])
 
 
 class Entry:
-    """An entry."""
+    """An entry with the components that route requests."""
 
     def __init__(self, fleet, number):
         self.process = Process(f"entry-{number}")
@@ -220,13 +220,15 @@
 
 
 class Fleet:
-    """Entries and sidecars.
+    """A fleet of entries and sidecars.
 
     Attributes:
-        vt: The time.
+        vt: The virtual time.
         crash_after_s: Seconds that a crashing request runs.
-        begun: Ids of requests that an engine began.
-        replies: What callers were told: None for an answer, by request.
+        restart_s: Seconds until a crashed engine restarts; None for never.
+        begun: Ids of requests that an engine started.
+        replies: By request: None for an answer, error kind and `ran` for a
+            refusal, "waits" until then.
     """
 
     def __init__(
@@ -236,7 +238,7 @@
         self._replace(monkeypatch)
         self.crash_after_s = crash_after_s
         self.restart_s = restart_s
-        self.begun = set()
+        self.started_requests = set()
         self.replies = {}
         self.configuration = SimpleNamespace(
             loaded=SimpleNamespace(is_set=lambda: True),
@@ -264,7 +266,7 @@
             entry.daemon.spawn(entry.members.take, listed)
 
     def _replace(self, monkeypatch):
-        """Replace the clock, and what tasks wait for."""
+        """Replace the clock, sockets, queues and synchronisation primitives."""
         vt = self.vt
         monkeypatch.setattr(time, "monotonic", vt.now)
         monkeypatch.setattr(time, "sleep", vt.sleep)
@@ -309,17 +311,17 @@
         monkeypatch.setattr(runs_module, "call_upstream", self._call)
 
     def _call(self, url, run, _deadline, **_):
-        """Run a request on an engine, as a sidecar's task."""
+        """Run a request on an engine, in a task of its sidecar."""
         number = int(url.rpartition(":")[2]) - 1
         engine = self.sidecars[number].engine
         if not engine.alive:
             raise UpstreamLost("refused", RAN_NO)
         run.executed = True
-        self.begun.add(run.attempt.request)
+        self.started_requests.add(run.attempt.request)
         start = engine.starts
         is_crashing = CRASHING in run.attempt.body
         if is_crashing:
-            # The engine goes on whatever becomes of its sidecar.
+            # The engine continues even if its sidecar is paused.
             self.vt.start(self._crash, engine, start)
         for _ in range(4) if not is_crashing else itertools.count():
             self.vt.sleep(STEP_S)
@@ -343,7 +345,7 @@
             engine.alive = True
 
     def send(self, at_s, entry, request, body):
-        """Let a caller send a request through an entry at a time."""
+        """Schedule a caller's request through an entry."""
 
         def task():
             self.vt.sleep(at_s)
@@ -364,9 +366,9 @@
         entry.daemon.spawn(task)
 
     def crashed(self):
-        """Name the sidecars whose engine crashed."""
+        """Return the names of the sidecars whose engine crashed."""
         return [s.process.name for s in self.sidecars if s.engine.crashed]
 
     def processes(self):
-        """Return the processes that may be paused."""
+        """Return all processes, any of which may be paused."""
         return [one.process for one in [*self.sidecars, *self.entries]]
--- a/tests/components/routing/__init__.py
+++ b/tests/components/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the routing."""
+"""Tests of the choice of versions and upstreams."""
--- a/tests/components/routing/test_plan.py
+++ b/tests/components/routing/test_plan.py
@@ -1,4 +1,4 @@
-"""Tests for planning which versions a request may run on."""
+"""Tests for the choice of the versions that a request tries."""
 
 import random
 
@@ -67,23 +67,23 @@
 )
 def test_plan(name, fields, steps):
     try:
-        found = [
+        planned = [
             s.version
             for s in plan(world_of(**fields), workspace_of(), name).steps
         ]
     except LacewingdockError as error:
         assert error.ran == "no"
-        found = error.kind
-    assert found == steps
+        planned = error.kind
+    assert planned == steps
 
 
 @pytest.mark.parametrize(
     ("on", "fields", "versions", "stays"),
     [
         ("a-1", {}, ("a-1", "a-2"), True),
-        # A roll-out that has taken all new sessions leaves this one alone.
+        # A roll-out that gets all new sessions does not move this session.
         ("a-1", {"shares": {"a-2": 1.0}}, ("a-1", "a-2"), True),
-        # So it does when the new version is withdrawn again.
+        # Nor does it when the new version is withdrawn again.
         (
             "a-1",
             {"shares": {"a-2": 1.0}, "withdrawn": ["a-2"]},
@@ -91,7 +91,7 @@
             True,
         ),
         ("a-1", {"withdrawn": ["a-1"]}, ("a-1", "a-2"), False),
-        # The workspace's permission was taken away.
+        # The workspace may no longer use the version.
         ("a-1", {}, ("a-2",), False),
         ("gone", {}, ("a-1", "a-2"), False),
     ],
@@ -99,10 +99,10 @@
 def test_a_session_stays_unless_its_version_may_not(
     on, fields, versions, stays
 ):
-    found = plan(world_of(**fields), workspace_of(versions), "a", on)
-    (step,) = found.steps
+    planned = plan(world_of(**fields), workspace_of(versions), "a", on)
+    (step,) = planned.steps
     assert (step.version == on) is stays
-    assert found.moved_from == ("" if stays else on)
+    assert planned.moved_from == ("" if stays else on)
 
 
 def test_a_session_of_a_model_taken_away_is_refused():
@@ -129,14 +129,15 @@
     world = world_of(withdrawn, shares)
     workspace = workspace_of(sorted(allowed), sorted(models))
     try:
-        found = plan(world, workspace, name, on)
+        planned = plan(world, workspace, name, on)
     except LacewingdockError as error:
         assert error.ran == "no"
-        # A session whose version may run is refused only with its model.
+        # A session whose version may run is refused only if its model is not
+        # allowed.
         assert on not in allowed - withdrawn or name not in models
         return
-    assert found.steps
-    for step in found.steps:
+    assert planned.steps
+    for step in planned.steps:
         assert step.version in allowed - withdrawn
     if on in allowed - withdrawn:
-        assert [s.version for s in found.steps] == [on]
+        assert [s.version for s in planned.steps] == [on]
--- a/tests/components/sessions/__init__.py
+++ b/tests/components/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the sessions."""
+"""Tests of the session tokens."""
--- a/tests/components/sessions/test_tokens.py
+++ b/tests/components/sessions/test_tokens.py
@@ -29,7 +29,7 @@
 
 
 def rotate(file, text):
-    """Write a key file as an operator does, with another change stamp."""
+    """Rewrite the key file as an operator does, with a new mtime."""
     file.write_text(text)
     stat = os.stat(file)
     os.utime(file, ns=(stat.st_atime_ns, stat.st_mtime_ns + 1_000_000))
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         forged,
         lambda token: token[:-4],
@@ -55,11 +55,11 @@
         lambda token: sign_session(SESSION, FOREIGN),
     ],
 )
-def test_a_token_that_is_not_genuine_is_refused(file, spoil):
+def test_a_token_that_is_not_genuine_is_refused(file, corrupt):
     keys = load_keys(str(file))
     token = sign_session(SESSION, keys)
     with pytest.raises(LacewingdockError) as refused:
-        open_session(spoil(token), "retail", keys)
+        open_session(corrupt(token), "retail", keys)
     assert refused.value.kind is ErrorKind.BAD_TOKEN
     assert refused.value.ran == "no"
 
@@ -72,10 +72,10 @@
 
 
 def test_a_token_outlives_the_rotation_of_its_key(file):
-    """The session keys are rotated while sessions go on.
+    """The session keys are rotated while sessions continue.
 
-    Symptom: a planner's session is refused, or moves to another version.
-    Cause: its token was signed with the key that was first before.
+    Symptom: a session is refused, or moves to another version.
+    Cause: its token was signed with the previous signing key.
     """
     one, other = load_keys(str(file)), load_keys(str(file))
     token = sign_session(SESSION, one)
