--- a/lacewingdock/components/engine/__init__.py
+++ b/lacewingdock/components/engine/__init__.py
@@ -57,7 +57,7 @@
         # A version that was unloaded may be loaded again by a restart of the
         # engine, so it stops counting as draining.
         self.draining &= set(report.versions)
-        self.runs.crashes.seen(report.incarnation)
+        self.runs.crashes.observe_incarnation(report.incarnation)
         served = (
             [self.service]
             if self.service
--- a/lacewingdock/components/quarantine/__init__.py
+++ b/lacewingdock/components/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Support for keeping requests that crash upstreams away from them."""
+"""Support for quarantining poison requests, which crash upstreams."""
 
 import contextlib
 import random
@@ -12,30 +12,36 @@
 from lacewingdock.components.configuration import Configuration
 from lacewingdock.components.peers import Peers
 from lacewingdock.components.quarantine.const import (
-    ASK_S,
-    MAX_ENDANGERED,
+    EVIDENCE_DELAY_S,
+    MAX_BLAST_RADIUS,
+    MAX_WAIT_S,
     NAME,
-    NEWS_S,
-    PATIENCE_S,
-    QUARANTINE_S,
+    QUARANTINE_TTL_S,
+    QUERY_INTERVAL_S,
     RETRY_AFTER_S,
-    SWEEP_S,
-    WRITE_S,
+    SWEEP_INTERVAL_S,
+    WRITE_INTERVAL_S,
 )
 from lacewingdock.components.quarantine.evidence import (
+    BlastRadius,
     Crash,
-    Endangered,
     EvidenceTable,
-    Verdict,
+    QuarantineVerdict,
 )
 from lacewingdock.components.quarantine.fingerprint import fingerprint_of
-from lacewingdock.components.quarantine.losses import Loss, Losses
-from lacewingdock.components.quarantine.operate import (
+from lacewingdock.components.quarantine.loss_publisher import LossPublisher
+from lacewingdock.components.quarantine.lost_attempts import (
+    LostAttempt,
+    LostAttempts,
+)
+from lacewingdock.components.quarantine.placement import (
+    Placement,
+    choose_isolated,
+)
+from lacewingdock.components.quarantine.storage import (
     clear_expired,
     write_quarantine,
 )
-from lacewingdock.components.quarantine.placing import Placing, choose_isolated
-from lacewingdock.components.quarantine.told_losses import ToldLosses
 from lacewingdock.const import RAN_NO
 from lacewingdock.core import Daemon
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
@@ -45,61 +51,63 @@
 from lacewingdock.world.objects import Quarantine as QuarantineItem
 from lacewingdock.world.upstream import Upstream
 
-__all__ = ["Quarantine", "Verdict", "fingerprint_of", "setup"]
+__all__ = ["Quarantine", "QuarantineVerdict", "fingerprint_of", "setup"]
 
 log = get_logger(NAME)
 
 
 class Quarantine:
-    """What this daemon knows of requests that were in flight at crashes.
+    """Evidence and quarantines of requests that were in flight at crashes.
 
-    Evidence goes over links at once, so it works while the platform is down;
-    a conviction is written to the platform's configuration too, so it
-    reaches daemons that start later.
+    Evidence is sent over links at once, so it spreads while the platform is
+    down. A quarantine is also written to the platform's configuration, from
+    which daemons that start later read it.
 
     Attributes:
         daemon: The daemon.
-        peers: The links.
-        configuration: Brings the quarantines that the platform keeps.
-        table: The evidence.
-        placing: Where copies of a request go, on an entry.
-        losses: Attempts of this entry of which nothing is known.
-        told: What the fleet was told of them.
-        unwritten: Convictions that this daemon proved and the platform has
-            not taken yet, by fingerprint.
+        peers: The links to other daemons.
+        configuration: Holds the quarantines stored in the platform.
+        table: The evidence by fingerprint.
+        placement: Chooses upstreams for copies of a request, on an entry.
+        lost_attempts: Attempts of this entry whose outcome is unknown.
+        loss_publisher: Publishes lost and pending attempts to the peers.
+        pending_writes: Quarantines that this daemon decided on and has not
+            written to the platform yet, by fingerprint.
     """
 
     __slots__ = (
+        "_evidence_changed",
         "_lock",
-        "_news",
         "configuration",
         "crashes",
         "daemon",
-        "losses",
+        "loss_publisher",
+        "lost_attempts",
         "peers",
-        "placing",
+        "pending_writes",
+        "placement",
         "refused",
         "table",
-        "told",
-        "unwritten",
     )
 
     def __init__(
         self, daemon: Daemon, peers: Peers, configuration: Configuration
     ) -> None:
-        """Join the links."""
+        """Register metrics and the handlers of links."""
         self.daemon = daemon
         self.peers = peers
         self.configuration = configuration
         self.table = EvidenceTable()
-        self.placing = Placing()
-        self.losses = Losses()
-        self.told = ToldLosses(
-            self.losses, self.placing, lambda news: self._spread(news, None)
+        self.placement = Placement()
+        self.lost_attempts = LostAttempts()
+        self.loss_publisher = LossPublisher(
+            self.lost_attempts,
+            self.placement,
+            lambda evidence: self._broadcast(evidence, None),
         )
-        self.unwritten: dict[str, QuarantineItem] = {}
+        self.pending_writes: dict[str, QuarantineItem] = {}
         self._lock = threading.Lock()
-        self._news = threading.Condition(self._lock)
+        self._evidence_changed = threading.Condition(self._lock)
         self.crashes = prometheus_client.Counter(
             "lacewingdock_upstream_crashes",
             "Crashes of this sidecar's upstream with requests in flight",
@@ -119,61 +127,63 @@
             "lacewingdock_lost_attempts",
             "Attempts of this entry of which a sidecar has not told yet",
             registry=daemon.metrics,
-        ).set_function(lambda: float(len(self.losses.given_up())))
+        ).set_function(lambda: float(len(self.lost_attempts.abandoned())))
         peers.handle(Evidence, self._on_evidence)
         peers.on_open.append(self._on_open)
 
     def start(self) -> None:
-        """Start writing convictions and forgetting old evidence."""
-        self.daemon.every(WRITE_S, self._write)
-        self.daemon.every(SWEEP_S, self._sweep)
+        """Schedule writes of quarantines and sweeps of old evidence."""
+        self.daemon.every(WRITE_INTERVAL_S, self._write_pending)
+        self.daemon.every(SWEEP_INTERVAL_S, self._sweep)
 
-    def verdict(self, fingerprint: str) -> Verdict:
-        """Tell what is held of a request now."""
+    def verdict(self, fingerprint: str) -> QuarantineVerdict:
+        """Return the current verdict on a request."""
         item = self.configuration.world.quarantines.get(fingerprint)
         is_kept = item is not None and item.state != "released"
         if item is not None and is_kept and item.expires > time.time():
-            return Verdict.QUARANTINED
-        released = self._released(fingerprint)
+            return QuarantineVerdict.QUARANTINED
+        released = self._released_crashes(fingerprint)
         with self._lock:
             return self.table.get(fingerprint).verdict(released)
 
-    def _released(self, fingerprint: str) -> Collection[str]:
-        """Return the crashes that an operator excused a request of."""
+    def _released_crashes(self, fingerprint: str) -> Collection[str]:
+        """Return the ids of crashes that a release excuses a request of."""
         item = self.configuration.world.quarantines.get(fingerprint)
         if item is None or item.state != "released":
             return ()
         return item.crashes
 
-    def endangered(self, fingerprint: str) -> Endangered:
-        """Return the instances that a request crashed or may have."""
-        released = self._released(fingerprint)
+    def blast_radius(self, fingerprint: str) -> BlastRadius:
+        """Return the instances that a request crashed or may have crashed."""
+        released = self._released_crashes(fingerprint)
         with self._lock:
             record = self.table.get(fingerprint)
-            crashes = record.standing(released)
-            lost = record.lost() | self.losses.instances(fingerprint)
+            crashes = record.counted_crashes(released)
+            lost = record.unresolved_instances() | self.lost_attempts.instances(
+                fingerprint
+            )
         if crashes:
-            lost |= self.placing.instances(fingerprint)
+            lost |= self.placement.instances(fingerprint)
         crashed = {crash.instance for crash in crashes}
-        crashed_at = max((crash.seen for crash in crashes), default=0.0)
-        return Endangered(crashed, lost - crashed, crashed_at)
+        crashed_at = max((crash.first_seen for crash in crashes), default=0.0)
+        return BlastRadius(crashed, lost - crashed, crashed_at)
 
     def _crashes(self, fingerprint: str) -> list[Crash]:
         with self._lock:
             return list(self.table.get(fingerprint).crashes.values())
 
-    def check(self, fingerprint: str) -> Verdict:
-        """Return the verdict unless it is a conviction.
+    def check(self, fingerprint: str) -> QuarantineVerdict:
+        """Return the verdict; raise if the request is quarantined.
 
         Raises:
             LacewingdockError: QUARANTINED, not run.
         """
         verdict = self.verdict(fingerprint)
-        if verdict is Verdict.QUARANTINED:
+        if verdict is QuarantineVerdict.QUARANTINED:
             self.refused.inc()
             raise LacewingdockError(
                 ErrorKind.QUARANTINED,
-                f"quarantine/{fingerprint}: it crashed upstreams",
+                f"quarantine/{fingerprint}: the request crashed upstreams",
                 RAN_NO,
             )
         return verdict
@@ -183,65 +193,67 @@
         fingerprint: str,
         candidates: list[Upstream],
         tried: Collection[str],
-        source: random.Random,
+        rng: random.Random,
         deadline: float,
     ) -> Upstream:
-        """Choose the upstream for a request; waits for one that is silent.
+        """Choose the upstream for a request; may wait for a silent one.
 
         Args:
             fingerprint: The request.
-            candidates: Upstreams that serve it, silent ones too.
-            tried: Names of those that refused it before.
-            source: Source of draws.
-            deadline: Monotonic time after which nobody waits.
+            candidates: Upstreams that serve the request, silent ones too.
+            tried: Names of upstreams that refused the request before.
+            rng: Source of draws.
+            deadline: Monotonic time at which the wait ends.
 
         Raises:
             LacewingdockError: QUARANTINED or NO_UPSTREAM, not run.
         """
-        end = min(deadline, time.monotonic() + PATIENCE_S)
+        end = min(deadline, time.monotonic() + MAX_WAIT_S)
         while True:
             verdict = self.check(fingerprint)
-            danger = self.endangered(fingerprint)
+            radius = self.blast_radius(fingerprint)
             chosen = self._choose(
-                fingerprint, verdict, danger, candidates, tried, source
+                fingerprint, verdict, radius, candidates, tried, rng
             )
             now = time.monotonic()
-            # Other entries may have copies where this one has none.
-            is_news_due = now < danger.crashed_at + NEWS_S
-            if chosen is not None and chosen.linked and not is_news_due:
+            # Evidence about copies sent by other entries may be on its way.
+            is_evidence_due = now < radius.crashed_at + EVIDENCE_DELAY_S
+            if chosen is not None and chosen.linked and not is_evidence_due:
                 return chosen
             if now >= end:
-                where = sorted(danger.crashed | danger.lost)
-                raise _held(f"not run elsewhere before {where} tell")
-            with self._news:
-                self._news.wait(min(end - now, ASK_S))
+                instances = sorted(radius.crashed | radius.lost)
+                raise _not_placeable(
+                    f"no other instance may run it until {instances} report"
+                )
+            with self._evidence_changed:
+                self._evidence_changed.wait(min(end - now, QUERY_INTERVAL_S))
 
     def _choose(
         self,
         fingerprint: str,
-        verdict: Verdict,
-        danger: Endangered,
+        verdict: QuarantineVerdict,
+        radius: BlastRadius,
         candidates: list[Upstream],
         tried: Collection[str],
-        source: random.Random,
+        rng: random.Random,
     ) -> Upstream | None:
-        """Choose as things stand; None when all it may go to are away."""
-        allowed = danger.allowed()
+        """Choose without waiting; None if no allowed upstream is available."""
+        allowed = radius.allowed()
         if allowed is not None:
             candidates = [u for u in candidates if u.name in allowed]
             if not candidates:
                 return None
             tried = ()
-        if verdict is Verdict.CLEAR:
+        if verdict is QuarantineVerdict.CLEAR:
             linked = [u for u in candidates if u.linked]
             if allowed is not None and not linked:
                 return None
-            return self.placing.choose(fingerprint, linked, tried, source)
-        # While its host is silent copies may run there, and no other may.
-        return choose_isolated(fingerprint, candidates, (), danger.crashed)
+            return self.placement.choose(fingerprint, linked, tried, rng)
+        # Copies may still run on a silent host, so no other host may run it.
+        return choose_isolated(fingerprint, candidates, (), radius.crashed)
 
-    def check_endangered(self, fingerprint: str, instance: str) -> None:
-        """Refuse a request that two other instances are endangered by.
+    def check_blast_radius(self, fingerprint: str, instance: str) -> None:
+        """Refuse a request whose blast radius covers two other instances.
 
         Args:
             fingerprint: The request.
@@ -250,38 +262,43 @@
         Raises:
             LacewingdockError: NO_UPSTREAM, not run.
         """
-        danger = self.endangered(fingerprint)
-        others = (danger.crashed | danger.lost) - {instance}
-        if len(others) >= MAX_ENDANGERED:
-            raise _held(f"it endangers {sorted(others)}")
+        radius = self.blast_radius(fingerprint)
+        others = (radius.crashed | radius.lost) - {instance}
+        if len(others) >= MAX_BLAST_RADIUS:
+            raise _not_placeable(
+                f"the request may have crashed {sorted(others)}"
+            )
 
     @contextlib.contextmanager
-    def sending(self, fingerprint: str, upstream: Upstream) -> Iterator[None]:
-        """Count an attempt as open for the length of a `with` block.
-
-        The evidence goes ahead of a suspect over the same link. News takes
-        its time to reach every peer, and a sidecar that has not heard would
-        run the suspect among others: the crash would prove nothing.
+    def track_attempt(
+        self, fingerprint: str, upstream: Upstream
+    ) -> Iterator[None]:
+        """Count an attempt as pending for the duration of a `with` block.
+
+        The evidence on a suspect is sent ahead of it over the same link.
+        Evidence takes time to reach all peers, and a sidecar that has not
+        received it would run the suspect beside other requests, so that a
+        crash would prove nothing.
         """
-        self.placing.began(fingerprint, upstream.name)
+        self.placement.attempt_started(fingerprint, upstream.name)
         link = upstream.link
         for crash in self._crashes(fingerprint) if link else ():
             assert link is not None
-            link.send(crash.evidence([fingerprint], time.monotonic()))
+            link.send(crash.to_message([fingerprint], time.monotonic()))
         try:
             yield
         finally:
-            self.placing.ended(fingerprint, upstream.name)
-            self.told.take_back(fingerprint, upstream.name)
+            self.placement.attempt_ended(fingerprint, upstream.name)
+            self.loss_publisher.retract(fingerprint, upstream.name)
 
-    def prove(self, fingerprint: str) -> None:
-        """Take note that a request was answered whole."""
-        self.placing.prove(fingerprint)
+    def record_success(self, fingerprint: str) -> None:
+        """Record that a request was answered completely."""
+        self.placement.record_success(fingerprint)
 
-    def report(
+    def report_crash(
         self, crash: str, isolated: bool, fingerprints: list[str]
     ) -> None:
-        """Tell the fleet what was in flight when this upstream crashed."""
+        """Publish the requests in flight when this upstream crashed."""
         self.crashes.inc()
         log.warning(
             "upstream crashed",
@@ -289,61 +306,70 @@
             isolated=isolated,
             fingerprints=fingerprints,
         )
-        self._spread(Evidence(crash, isolated, False, fingerprints), None)
+        self._broadcast(Evidence(crash, isolated, False, fingerprints), None)
 
-    def doubt(self, loss: str, fingerprint: str, is_over: bool) -> None:
-        """Tell the fleet that this upstream may have crashed, or no longer may.
+    def report_unresolved(
+        self, loss: str, fingerprint: str, is_over: bool
+    ) -> None:
+        """Publish that a possible crash of this upstream is open or resolved.
 
         Args:
-            loss: Id of the doubt.
+            loss: Id of the loss.
             fingerprint: The request that was lost.
-            is_over: Whether a crash was told, or there was none.
+            is_over: Whether a crash was reported or ruled out since.
         """
-        self._spread(
+        self._broadcast(
             Evidence(loss, False, is_over, [fingerprint], 0, True), None
         )
 
     def excuse(self, fingerprint: str) -> None:
-        """Take note that a suspect ran alone and nothing crashed."""
+        """Excuse a suspect of its crashes: it ran alone without a crash."""
         for crash in self._crashes(fingerprint):
-            self._spread(Evidence(crash.id, False, True, [fingerprint]), None)
+            self._broadcast(
+                Evidence(crash.id, False, True, [fingerprint]), None
+            )
 
-    def convict(self, attempt: Attempt, fingerprint: str) -> None:
-        """Have a conviction written, if the evidence amounts to one."""
-        if self.verdict(fingerprint) is not Verdict.QUARANTINED:
+    def enqueue_quarantine(self, attempt: Attempt, fingerprint: str) -> None:
+        """Schedule the write of a quarantine if the evidence suffices."""
+        if self.verdict(fingerprint) is not QuarantineVerdict.QUARANTINED:
             return
         with self._lock:
-            standing = self.table.get(fingerprint).standing()
-        crashes = sorted(crash.id for crash in standing)
-        self.unwritten[fingerprint] = QuarantineItem(
+            counted_crashes = self.table.get(fingerprint).counted_crashes()
+        crashes = sorted(crash.id for crash in counted_crashes)
+        self.pending_writes[fingerprint] = QuarantineItem(
             workspace=attempt.workspace,
             target=attempt.target,
             reason=f"crashed {len(crashes)} upstreams, the last one alone",
             crashes=crashes,
-            expires=int(time.time() + QUARANTINE_S),
+            expires=int(time.time() + QUARANTINE_TTL_S),
         )
 
-    def lose(self, loss: Loss, given_up: bool = False) -> None:
-        """Take note that nobody knows what became of an attempt.
+    def record_loss(self, loss: LostAttempt, abandoned: bool = False) -> None:
+        """Record an attempt whose outcome is unknown.
 
         Args:
             loss: The attempt.
-            given_up: Whether its entry has turned elsewhere.
+            abandoned: Whether its entry has stopped waiting for the answer.
         """
-        self.losses.add(loss)
-        if given_up:
-            self.losses.give_up(loss.attempt)
+        self.lost_attempts.add(loss)
+        if abandoned:
+            self.lost_attempts.abandon(loss.attempt)
             log.info(
                 "attempt lost",
                 attempt_id=loss.attempt,
                 upstream=loss.instance,
                 fingerprint=loss.fingerprint,
             )
-        self.told.update(loss.fingerprint, self.endangered(loss.fingerprint))
+        self.loss_publisher.update(
+            loss.fingerprint, self.blast_radius(loss.fingerprint)
+        )
 
-    def resolve(self, attempt: str) -> None:
-        """Take note that an attempt did not crash its upstream, or is told."""
-        loss = self.losses.remove(attempt)
+    def resolve_loss(self, attempt: str) -> None:
+        """Remove a lost attempt that is resolved or obsolete.
+
+        It is resolved once its crash was reported or ruled out.
+        """
+        loss = self.lost_attempts.remove(attempt)
         if loss is None:
             return
         log.info(
@@ -352,35 +378,37 @@
             upstream=loss.instance,
             age_s=round(time.monotonic() - loss.since, 2),
         )
-        self.told.take_back(loss.fingerprint, loss.instance)
-        with self._news:
-            self._news.notify_all()
+        self.loss_publisher.retract(loss.fingerprint, loss.instance)
+        with self._evidence_changed:
+            self._evidence_changed.notify_all()
 
-    def _spread(self, evidence: Evidence, source: Link | None) -> None:
-        """Take evidence in; what was news goes on to every other link.
+    def _broadcast(self, evidence: Evidence, sender: Link | None) -> None:
+        """Merge evidence and forward what is new to all other links.
 
-        Entries have links only to sidecars and the other way round, so news
-        that did not go on would stop at the first neighbour while the
-        platform is down.
+        Entries have links only to sidecars and sidecars only to entries, so
+        evidence that is not forwarded would stop at the first neighbour while
+        the platform is down.
         """
         with self._lock:
-            news = self.table.join(evidence, time.monotonic())
-        if not news:
+            changed = self.table.merge(evidence, time.monotonic())
+        if not changed:
             return
         if not evidence.unresolved:
-            self.placing.doubt(news)
-        evidence = replace(evidence, fingerprints=news)
+            self.placement.clear_successes(changed)
+        evidence = replace(evidence, fingerprints=changed)
         for link in tuple(self.peers.links):
-            if link is not source:
+            if link is not sender:
                 link.send(evidence)
-        with self._news:
-            self._news.notify_all()
-        for fingerprint in news:
-            if self.told.own(fingerprint):
-                self.told.update(fingerprint, self.endangered(fingerprint))
+        with self._evidence_changed:
+            self._evidence_changed.notify_all()
+        for fingerprint in changed:
+            if self.loss_publisher.own_instances(fingerprint):
+                self.loss_publisher.update(
+                    fingerprint, self.blast_radius(fingerprint)
+                )
 
     def _on_evidence(self, link: Link, message: Evidence) -> None:
-        self._spread(message, link)
+        self._broadcast(message, link)
 
     def _on_open(self, link: Link) -> None:
         with self._lock:
@@ -388,17 +416,17 @@
         for message in evidence:
             link.send(message)
 
-    def _write(self) -> None:
-        """Write convictions; what fails stays for the next round."""
-        for fingerprint, item in tuple(self.unwritten.items()):
+    def _write_pending(self) -> None:
+        """Write pending quarantines; those that fail are retried next time."""
+        for fingerprint, item in tuple(self.pending_writes.items()):
             try:
                 write_quarantine(self.daemon.store, fingerprint, item)
             except LacewingdockError as error:
                 log.warning("quarantine not written", error=error.detail)
                 return
-            del self.unwritten[fingerprint]
-            # The few that write also clear away, so the configuration does
-            # not grow for good and nobody has to hold a lease for it.
+            del self.pending_writes[fingerprint]
+            # The few daemons that write also delete expired quarantines, so
+            # the configuration stays bounded without a lease for the cleanup.
             with contextlib.suppress(LacewingdockError):
                 clear_expired(self.daemon.store)
 
@@ -407,10 +435,11 @@
             self.table.sweep(time.monotonic())
 
     def unload(self) -> None:
-        """Nothing is held beyond the daemon's tasks."""
+        """Do nothing: the daemon itself ends the scheduled tasks."""
 
 
-def _held(detail: str) -> LacewingdockError:
+def _not_placeable(detail: str) -> LacewingdockError:
+    """Return a refusal that asks the caller to retry later."""
     return LacewingdockError(
         ErrorKind.NO_UPSTREAM, detail, RAN_NO, RETRY_AFTER_S
     )
@@ -419,7 +448,7 @@
 def setup(
     daemon: Daemon, peers: Peers, configuration: Configuration
 ) -> Quarantine:
-    """Set the quarantine up."""
+    """Create the quarantine and add it to the daemon."""
     quarantine = Quarantine(daemon, peers, configuration)
     daemon.add(NAME, quarantine)
     return quarantine
--- a/lacewingdock/components/quarantine/evidence.py
+++ b/lacewingdock/components/quarantine/evidence.py
@@ -1,8 +1,9 @@
-"""Support for weighing what was in flight when upstreams crashed.
+"""Support for evidence on the requests in flight when upstreams crashed.
 
-The evidence of a fingerprint is a set of crashes and a set of crashes it is
-excused of. Both only grow, so evidence may come late, twice and over any
-path, and every daemon that has the same evidence gives the same verdict.
+The evidence on a fingerprint is a set of crashes and a set of crashes that the
+fingerprint is excused of. Both sets only grow, so evidence may arrive late,
+more than once and over any path, and all daemons that have the same evidence
+reach the same verdict.
 """
 
 from collections.abc import Collection
@@ -10,19 +11,19 @@
 from enum import StrEnum
 
 from lacewingdock.components.quarantine.const import (
-    LOSS_S,
+    LOSS_TTL_S,
+    MAX_BLAST_RADIUS,
     MAX_CRASHES,
-    MAX_ENDANGERED,
     MAX_RECORDS,
-    QUARANTINE_S,
-    SUSPECT_S,
+    QUARANTINE_TTL_S,
+    SUSPECT_TTL_S,
 )
 from lacewingdock.helpers.clock import MS_PER_S
 from lacewingdock.links.messages import Evidence
 
 
-class Verdict(StrEnum):
-    """What is held of a fingerprint."""
+class QuarantineVerdict(StrEnum):
+    """The state of a fingerprint according to the evidence."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -31,19 +32,19 @@
 
 @dataclass(slots=True)
 class Crash:
-    """A crash that a request was in flight at.
+    """A crash at which a request was in flight.
 
     Attributes:
-        id: "INSTANCE/ERA", one for each crash.
+        id: "INSTANCE/ERA", unique for each crash.
         isolated: Whether the request ran alone there, as a suspect.
-        seen: Monotonic time at which it was first known.
+        first_seen: Monotonic time at which the crash was first recorded.
         excused: Whether the request was shown not to be the cause.
-        unresolved: Whether it is not known yet if there was a crash.
+        unresolved: Whether it is still unknown if there was a crash.
     """
 
     id: str
     isolated: bool
-    seen: float
+    first_seen: float
     excused: bool = False
     unresolved: bool = False
 
@@ -52,11 +53,11 @@
         """Name of the sidecar's instance whose upstream crashed."""
         return self.id.partition("/")[0]
 
-    def evidence(self, fingerprints: list[str], now: float) -> Evidence:
-        """Return what peers are told of it.
+    def to_message(self, fingerprints: list[str], now: float) -> Evidence:
+        """Return the message about this crash for peers.
 
         Args:
-            fingerprints: Whom it is told of.
+            fingerprints: Requests to which the message applies.
             now: Monotonic time.
         """
         return Evidence(
@@ -64,18 +65,18 @@
             self.isolated,
             self.excused,
             fingerprints,
-            max(0, int((now - self.seen) * MS_PER_S)),
+            max(0, int((now - self.first_seen) * MS_PER_S)),
             self.unresolved,
         )
 
 
 @dataclass(slots=True, frozen=True)
-class Endangered:
-    """The instances that a request is a danger to.
+class BlastRadius:
+    """The instances that a request crashed or may have crashed.
 
     Attributes:
-        crashed: Those that crashed while they ran it.
-        lost: Others that may have, or may yet.
+        crashed: Instances that crashed while they ran the request.
+        lost: Other instances that may have crashed, or may still crash.
         crashed_at: Monotonic time of the newest crash; 0 without one.
     """
 
@@ -84,37 +85,37 @@
     crashed_at: float
 
     def allowed(self) -> set[str] | None:
-        """Return the instances that it may go to; None for any.
+        """Return the instances that the request may go to; None for any.
 
-        At the limit it goes to one that it endangers already. That is one of
-        which nothing is known, if there is any: its answer tells more than
-        another crash where it crashed before.
+        At the limit the request only goes to instances already in its blast
+        radius, preferably to those where its outcome is unknown: their answer
+        says more than another crash of an instance that crashed before.
         """
-        if len(self.crashed | self.lost) < MAX_ENDANGERED:
+        if len(self.crashed | self.lost) < MAX_BLAST_RADIUS:
             return None
         return self.lost or self.crashed
 
 
 @dataclass(slots=True)
-class Record:
-    """The evidence of one fingerprint.
+class EvidenceRecord:
+    """The evidence on one fingerprint.
 
     Attributes:
-        crashes: Crashes by id.
+        crashes: Crashes and unresolved losses, by id.
     """
 
     crashes: dict[str, Crash] = field(default_factory=dict)
 
-    def standing(self, released: Collection[str] = ()) -> list[Crash]:
-        """Return the crashes that still count."""
+    def counted_crashes(self, released: Collection[str] = ()) -> list[Crash]:
+        """Return the crashes not excused, unresolved or released."""
         return [
             crash
             for crash in self.crashes.values()
             if not (crash.excused or crash.unresolved or crash.id in released)
         ]
 
-    def lost(self) -> set[str]:
-        """Return the instances of which it is not known if they crashed."""
+    def unresolved_instances(self) -> set[str]:
+        """Return the instances for which a crash is unresolved."""
         return {
             crash.instance
             for crash in self.crashes.values()
@@ -122,7 +123,11 @@
         }
 
     def make_room(self) -> bool:
-        """Tell whether another crash fits, at the cost of a mere loss."""
+        """Make room for a crash by dropping an unresolved loss if necessary.
+
+        Returns:
+            Whether there is room.
+        """
         if len(self.crashes) < MAX_CRASHES:
             return True
         for crash in self.crashes.values():
@@ -131,126 +136,127 @@
                 return True
         return False
 
-    def verdict(self, released: Collection[str] = ()) -> Verdict:
-        """Weigh the crashes that still count.
+    def verdict(self, released: Collection[str] = ()) -> QuarantineVerdict:
+        """Return the verdict on the crashes that count.
 
-        One crash makes a suspect: a healthy request may merely have been in
-        flight. A second one convicts only if the suspect ran alone there,
-        on another instance than before; on the same instance it takes two
-        alone, because a broken upstream crashes whatever it runs.
+        One crash makes the request a suspect: a healthy request may have been
+        in flight by chance. A second crash leads to a quarantine only if the
+        suspect ran alone there, on a different instance. On the same instance
+        two crashes of the suspect alone are needed, because a broken upstream
+        crashes whatever it runs.
         """
-        crashes = self.standing(released)
+        crashes = self.counted_crashes(released)
         if not crashes:
-            return Verdict.CLEAR
+            return QuarantineVerdict.CLEAR
         alone = sum(crash.isolated for crash in crashes)
         instances = {crash.instance for crash in crashes}
         if alone >= 2 or (alone == 1 and len(instances) >= 2):
-            return Verdict.QUARANTINED
-        return Verdict.SUSPECT
+            return QuarantineVerdict.QUARANTINED
+        return QuarantineVerdict.SUSPECT
 
 
-def _is_news(known: Crash, evidence: Evidence) -> bool:
-    """Tell whether evidence says more of a crash than is known."""
+def _adds_evidence(recorded: Crash, evidence: Evidence) -> bool:
+    """Return whether evidence adds anything to a crash on record."""
     return (
-        (evidence.isolated and not known.isolated)
-        or (evidence.excused and not known.excused)
-        or (known.unresolved and not evidence.unresolved)
+        (evidence.isolated and not recorded.isolated)
+        or (evidence.excused and not recorded.excused)
+        or (recorded.unresolved and not evidence.unresolved)
     )
 
 
 class EvidenceTable:
-    """Evidence by fingerprint, bounded in time and memory.
+    """Evidence by fingerprint, bounded in age and memory.
 
     Attributes:
-        records: Records by fingerprint, the one with the oldest news first.
+        records: Records by fingerprint, the least recently updated first.
     """
 
     __slots__ = ("records",)
 
     def __init__(self) -> None:
-        """Start without evidence."""
-        self.records: dict[str, Record] = {}
+        """Create an empty table."""
+        self.records: dict[str, EvidenceRecord] = {}
 
-    def join(self, evidence: Evidence, now: float) -> list[str]:
-        """Take evidence in.
+    def merge(self, evidence: Evidence, now: float) -> list[str]:
+        """Merge evidence into the table.
 
         Args:
-            evidence: What a peer or this daemon saw.
+            evidence: Evidence from a peer or from this daemon.
             now: Monotonic time.
 
         Returns:
-            The fingerprints that it was news for.
+            The fingerprints whose record has changed.
         """
-        seen = now - evidence.age_ms / MS_PER_S
-        limit = LOSS_S if evidence.unresolved else QUARANTINE_S
-        if now - seen > limit:
+        first_seen = now - evidence.age_ms / MS_PER_S
+        limit = LOSS_TTL_S if evidence.unresolved else QUARANTINE_TTL_S
+        if now - first_seen > limit:
             return []
-        news = [
+        changed = [
             fingerprint
             for fingerprint in evidence.fingerprints
-            if self._join_one(fingerprint, evidence, seen)
+            if self._merge_one(fingerprint, evidence, first_seen)
         ]
         while len(self.records) > MAX_RECORDS:
             self._evict()
-        return news
+        return changed
 
-    def _join_one(
-        self, fingerprint: str, evidence: Evidence, seen: float
+    def _merge_one(
+        self, fingerprint: str, evidence: Evidence, first_seen: float
     ) -> bool:
-        record = self.records.get(fingerprint) or Record()
-        known = record.crashes.get(evidence.crash)
-        if known is None:
+        record = self.records.get(fingerprint) or EvidenceRecord()
+        recorded = record.crashes.get(evidence.crash)
+        if recorded is None:
             if not record.make_room():
                 return False
-            known = Crash(
+            recorded = Crash(
                 evidence.crash,
                 evidence.isolated,
-                seen,
+                first_seen,
                 unresolved=evidence.unresolved,
             )
-            record.crashes[evidence.crash] = known
-        elif not _is_news(known, evidence):
+            record.crashes[evidence.crash] = recorded
+        elif not _adds_evidence(recorded, evidence):
             return False
-        known.isolated = known.isolated or evidence.isolated
-        known.excused = known.excused or evidence.excused
-        known.unresolved = known.unresolved and evidence.unresolved
+        recorded.isolated = recorded.isolated or evidence.isolated
+        recorded.excused = recorded.excused or evidence.excused
+        recorded.unresolved = recorded.unresolved and evidence.unresolved
         self.records.pop(fingerprint, None)
         self.records[fingerprint] = record
         return True
 
     def _evict(self) -> None:
-        """Drop the oldest suspicion; a conviction only if there is no other.
+        """Drop the oldest record, preferably one that is not quarantined.
 
         A caller that crashes upstreams with ever new bodies must not push
-        convictions out of memory.
+        quarantined requests out of memory.
         """
         for fingerprint, record in self.records.items():
-            if record.verdict() is not Verdict.QUARANTINED:
+            if record.verdict() is not QuarantineVerdict.QUARANTINED:
                 del self.records[fingerprint]
                 return
         del self.records[next(iter(self.records))]
 
-    def get(self, fingerprint: str) -> Record:
-        """Return the evidence of a fingerprint; empty when there is none."""
-        return self.records.get(fingerprint) or Record()
+    def get(self, fingerprint: str) -> EvidenceRecord:
+        """Return the record of a fingerprint; an empty one if there is none."""
+        return self.records.get(fingerprint) or EvidenceRecord()
 
     def sweep(self, now: float) -> None:
-        """Forget what is too old to count."""
+        """Remove losses and records that have expired."""
         for fingerprint, record in tuple(self.records.items()):
             for crash in tuple(record.crashes.values()):
-                if crash.unresolved and now - crash.seen > LOSS_S:
+                if crash.unresolved and now - crash.first_seen > LOSS_TTL_S:
                     del record.crashes[crash.id]
             if not record.crashes:
                 del self.records[fingerprint]
                 continue
-            convicted = record.verdict() is Verdict.QUARANTINED
-            limit = QUARANTINE_S if convicted else SUSPECT_S
-            newest = max(crash.seen for crash in record.crashes.values())
+            is_quarantined = record.verdict() is QuarantineVerdict.QUARANTINED
+            limit = QUARANTINE_TTL_S if is_quarantined else SUSPECT_TTL_S
+            newest = max(crash.first_seen for crash in record.crashes.values())
             if now - newest > limit:
                 del self.records[fingerprint]
 
     def dump(self, now: float) -> list[Evidence]:
-        """Return everything, one message for each crash."""
+        """Return all evidence, grouped into one message per crash and state."""
         grouped: dict[tuple[str, bool, bool, bool], Evidence] = {}
         for fingerprint, record in tuple(self.records.items()):
             for crash in tuple(record.crashes.values()):
@@ -260,6 +266,6 @@
                     crash.excused,
                     crash.unresolved,
                 )
-                evidence = grouped.setdefault(key, crash.evidence([], now))
+                evidence = grouped.setdefault(key, crash.to_message([], now))
                 evidence.fingerprints.append(fingerprint)
         return list(grouped.values())
--- a/lacewingdock/components/routing/plan.py
+++ b/lacewingdock/components/routing/plan.py
@@ -10,12 +10,13 @@
 
 
 @dataclass(slots=True)
-class Plan:
-    """The versions to try, in order.
+class VersionPlan:
+    """The versions that a request tries, in order.
 
     Attributes:
-        name: What the caller asked for.
-        steps: The steps; the last one's answer is given whatever its rating.
+        name: Model, cascade or version that the caller asked for.
+        steps: The steps; the answer of the last step is returned whatever its
+            rating.
         moved_from: Version that the session had to leave, or empty.
     """
 
@@ -29,88 +30,94 @@
     workspace: Workspace,
     name: str,
     session: Session | None,
-    source: random.Random,
-) -> Plan:
-    """Plan a request.
+    rng: random.Random,
+) -> VersionPlan:
+    """Return the versions that a request tries.
 
     Args:
         world: The configuration in force.
         workspace: The caller's workspace.
         name: Model, cascade or version asked for.
         session: The caller's session, if it has one.
-        source: Source of the draw among a model's versions.
+        rng: Source of the draw among a model's versions.
 
     Raises:
         LacewingdockError: UNKNOWN_MODEL, MODEL_NOT_ALLOWED or
-            VERSION_WITHDRAWN; none of them ran.
+            VERSION_WITHDRAWN; not run.
     """
     _check_name(world, workspace, name)
     if session is None or session.name != name:
-        return Plan(name, _steps(world, workspace, name, source))
-    # Before the name's own versions are looked at: the session's one may be
-    # offered still when no new session would get it, nor any other.
+        return VersionPlan(name, _resolve_steps(world, workspace, name, rng))
+    # Checked before the versions of the name: the session's version may still
+    # be offered when new sessions would get another version or none.
     if session.version in workspace.versions and world.offered(session.version):
-        return Plan(name, [Step(version=session.version)])
-    # Withdrawal goes before stickiness; the caller is told in a header.
-    steps = _steps(world, workspace, name, source)
-    return Plan(name, steps, moved_from=session.version)
+        return VersionPlan(name, [Step(version=session.version)])
+    # Withdrawal overrides session affinity; a header reports the move.
+    steps = _resolve_steps(world, workspace, name, rng)
+    return VersionPlan(name, steps, moved_from=session.version)
 
 
 def _check_name(world: World, workspace: Workspace, name: str) -> None:
-    """Refuse a name that the workspace may not ask for."""
+    """Raise for a name that is unknown or not allowed to the workspace."""
     if name in workspace.models:
         return
     if name in workspace.versions and name in world.versions:
         return
-    known = name in world.models or name in world.cascades
-    known = known or name in world.versions
+    exists = name in world.models or name in world.cascades
+    exists = exists or name in world.versions
     raise LacewingdockError(
-        ErrorKind.MODEL_NOT_ALLOWED if known else ErrorKind.UNKNOWN_MODEL,
+        ErrorKind.MODEL_NOT_ALLOWED if exists else ErrorKind.UNKNOWN_MODEL,
         f"model {name!r}",
     )
 
 
-def _steps(
-    world: World, workspace: Workspace, name: str, source: random.Random
+def _resolve_steps(
+    world: World, workspace: Workspace, name: str, rng: random.Random
 ) -> list[Step]:
-    """Return the steps of a name that the workspace allows now."""
+    """Return the steps of a name that are allowed and offered now."""
     if name in world.versions and name in workspace.versions:
-        return _offered(world, name, [Step(version=name)])
+        return _offered_steps(world, name, [Step(version=name)])
     match world.cascades.get(name) or world.models.get(name):
         case Cascade(steps=steps):
             allowed = [s for s in steps if s.version in workspace.versions]
         case Model(shares=shares):
-            allowed = _draw(world, workspace, shares, source)
+            allowed = _draw_version(world, workspace, shares, rng)
         case _:
             raise LacewingdockError(ErrorKind.UNKNOWN_MODEL, f"model {name!r}")
     if not allowed:
         raise LacewingdockError(
             ErrorKind.MODEL_NOT_ALLOWED, f"no version of {name!r} is allowed"
         )
-    return _offered(world, name, allowed)
+    return _offered_steps(world, name, allowed)
 
 
-def _offered(world: World, name: str, steps: list[Step]) -> list[Step]:
+def _offered_steps(world: World, name: str, steps: list[Step]) -> list[Step]:
+    """Return the steps whose version is offered; raise if there is none."""
     offered = [step for step in steps if world.offered(step.version)]
     if not offered:
         raise LacewingdockError(
-            ErrorKind.VERSION_WITHDRAWN, f"every version of {name!r}"
+            ErrorKind.VERSION_WITHDRAWN,
+            f"every version of {name!r} is withdrawn",
         )
     return offered
 
 
-def _draw(
+def _draw_version(
     world: World,
     workspace: Workspace,
     shares: dict[str, float],
-    source: random.Random,
+    rng: random.Random,
 ) -> list[Step]:
-    """Draw one version by the shares, among those allowed and offered."""
+    """Draw a version by its share among those allowed and offered.
+
+    If none is offered with a share above 0, the draw is among all allowed
+    versions; `_offered_steps` then refuses a withdrawn one.
+    """
     allowed = {v: s for v, s in shares.items() if v in workspace.versions}
     offered = {v: s for v, s in allowed.items() if world.offered(v) and s > 0}
     candidates = offered or allowed
     if not candidates:
         return []
     weights = [share or 1e-9 for share in candidates.values()]
-    (version,) = source.choices(list(candidates), weights)
+    (version,) = rng.choices(list(candidates), weights)
     return [Step(version=version)]
--- a/lacewingdock/components/runs/__init__.py
+++ b/lacewingdock/components/runs/__init__.py
@@ -14,10 +14,10 @@
 from lacewingdock.components.peers import Peers
 from lacewingdock.components.quarantine import (
     Quarantine,
-    Verdict,
+    QuarantineVerdict,
     fingerprint_of,
 )
-from lacewingdock.components.quarantine.crash_watch import CrashWatch
+from lacewingdock.components.quarantine.crash_detector import CrashDetector
 from lacewingdock.components.runs.run_store import RunStore
 from lacewingdock.components.runs.upstream_call import call_upstream
 from lacewingdock.components.runs.upstream_status import probe_upstream
@@ -111,11 +111,13 @@
         self.configuration = configuration
         self.claims = claims
         self.quarantine = quarantine
-        self.crashes = CrashWatch(
+        self.crashes = CrashDetector(
             settings.instance,
             lambda: probe_upstream(settings.upstream),
             self._on_crash,
-            lambda *doubt: self.quarantine.doubt(*doubt),
+            lambda *report_unresolved: self.quarantine.report_unresolved(
+                *report_unresolved
+            ),
         )
         self.not_begun = prometheus_client.Counter(
             "lacewingdock_attempts_not_begun",
@@ -164,7 +166,7 @@
         self, crash: str, isolated: bool, fingerprints: list[str]
     ) -> None:
         """Report a crash and announce no targets until the next poll."""
-        self.quarantine.report(crash, isolated, fingerprints)
+        self.quarantine.report_crash(crash, isolated, fingerprints)
         self.set_targets([])
 
     def active(self) -> int:
@@ -328,7 +330,9 @@
         fingerprint = fingerprint_of(attempt)
         done = False
         while not done:
-            alone = self.quarantine.check(fingerprint) is Verdict.SUSPECT
+            alone = (
+                self.quarantine.check(fingerprint) is QuarantineVerdict.SUSPECT
+            )
             with self.slots.hold(
                 attempt.priority, run.deadline, alone, run.set_cancel_hook
             ):
@@ -343,7 +347,9 @@
         """
         # A withdrawal or a crash may have been reported while the run queued.
         self._check_permitted(run.attempt)
-        suspect = self.quarantine.check(fingerprint) is Verdict.SUSPECT
+        suspect = (
+            self.quarantine.check(fingerprint) is QuarantineVerdict.SUSPECT
+        )
         if run.cancelled.is_set():
             raise LacewingdockError(
                 ErrorKind.DEADLINE, "no caller is waiting any more", RAN_NO
@@ -352,7 +358,7 @@
             raise self._not_begun_error(run, "its entry has abandoned it")
         if suspect != alone:
             return False
-        self.quarantine.check_endangered(fingerprint, self.settings.instance)
+        self.quarantine.check_blast_radius(fingerprint, self.settings.instance)
         try:
             with self.crashes.call(fingerprint, alone):
                 call_upstream(
@@ -362,7 +368,7 @@
                     is_engine=not self.settings.service,
                 )
         except LacewingdockError:
-            self.quarantine.convict(run.attempt, fingerprint)
+            self.quarantine.enqueue_quarantine(run.attempt, fingerprint)
             raise
         if alone:
             self.quarantine.excuse(fingerprint)
--- a/tests/components/quarantine/test_evidence.py
+++ b/tests/components/quarantine/test_evidence.py
@@ -1,4 +1,4 @@
-"""Tests for the weighing of evidence, with fakes."""
+"""Tests for the verdicts on evidence, with fakes."""
 
 import itertools
 
@@ -10,10 +10,13 @@
 
 from lacewingdock.components.quarantine.const import (
     MAX_RECORDS,
-    QUARANTINE_S,
-    SUSPECT_S,
+    QUARANTINE_TTL_S,
+    SUSPECT_TTL_S,
+)
+from lacewingdock.components.quarantine.evidence import (
+    EvidenceTable,
+    QuarantineVerdict,
 )
-from lacewingdock.components.quarantine.evidence import EvidenceTable, Verdict
 from lacewingdock.links.messages import Evidence
 
 NOW = 1_000_000.0
@@ -40,41 +43,50 @@
 def table_of(evidence):
     table = EvidenceTable()
     for one in evidence:
-        table.join(one, NOW)
+        table.merge(one, NOW)
     return table
 
 
 @pytest.mark.parametrize(
     ("evidence", "verdict"),
     [
-        ([], Verdict.CLEAR),
-        ([crash("a/1")], Verdict.SUSPECT),
-        # In flight at two crashes, never alone: it may be merely popular.
-        ([crash("a/1"), crash("b/1")], Verdict.SUSPECT),
-        ([crash("a/1"), crash("b/1", isolated=True)], Verdict.QUARANTINED),
-        ([crash("a/1", isolated=True)], Verdict.SUSPECT),
-        # A broken upstream must not convict by itself at the second crash.
-        ([crash("a/1"), crash("a/2", isolated=True)], Verdict.SUSPECT),
+        ([], QuarantineVerdict.CLEAR),
+        ([crash("a/1")], QuarantineVerdict.SUSPECT),
+        # In flight at two crashes, never alone: it may just be frequent.
+        ([crash("a/1"), crash("b/1")], QuarantineVerdict.SUSPECT),
+        (
+            [crash("a/1"), crash("b/1", isolated=True)],
+            QuarantineVerdict.QUARANTINED,
+        ),
+        ([crash("a/1", isolated=True)], QuarantineVerdict.SUSPECT),
+        # A second crash of the same, broken upstream must not quarantine.
+        (
+            [crash("a/1"), crash("a/2", isolated=True)],
+            QuarantineVerdict.SUSPECT,
+        ),
         (
             [
                 crash("a/1"),
                 crash("a/2", isolated=True),
                 crash("a/3", isolated=True),
             ],
-            Verdict.QUARANTINED,
+            QuarantineVerdict.QUARANTINED,
         ),
-        # The same crash told twice is one crash.
-        ([crash("a/1"), crash("a/1", isolated=True)], Verdict.SUSPECT),
-        ([crash("a/1"), crash("a/1", excused=True)], Verdict.CLEAR),
+        # A crash that is reported twice is one crash.
+        (
+            [crash("a/1"), crash("a/1", isolated=True)],
+            QuarantineVerdict.SUSPECT,
+        ),
+        ([crash("a/1"), crash("a/1", excused=True)], QuarantineVerdict.CLEAR),
         (
             [
                 crash("a/1"),
                 crash("a/1", excused=True),
                 crash("b/1", isolated=True),
             ],
-            Verdict.SUSPECT,
+            QuarantineVerdict.SUSPECT,
         ),
-        ([crash("a/1", fingerprints=["g"])], Verdict.CLEAR),
+        ([crash("a/1", fingerprints=["g"])], QuarantineVerdict.CLEAR),
     ],
 )
 def test_verdict(evidence, verdict):
@@ -85,10 +97,10 @@
 @pytest.mark.parametrize(
     ("released", "verdict"),
     [
-        ([], Verdict.QUARANTINED),
-        (["a/1"], Verdict.SUSPECT),
-        (["a/1", "b/1"], Verdict.CLEAR),
-        (["x/9"], Verdict.QUARANTINED),
+        ([], QuarantineVerdict.QUARANTINED),
+        (["a/1"], QuarantineVerdict.SUSPECT),
+        (["a/1", "b/1"], QuarantineVerdict.CLEAR),
+        (["x/9"], QuarantineVerdict.QUARANTINED),
     ],
 )
 def test_a_release_excuses_only_the_crashes_that_it_names(released, verdict):
@@ -98,14 +110,17 @@
 
 @CHECKED
 @given(st.lists(EVIDENCE, max_size=8), st.randoms())
-def test_order_and_repeats_do_not_matter(evidence, source):
+def test_order_and_repeats_do_not_matter(evidence, rng):
     shuffled = [*evidence, *evidence]
-    source.shuffle(shuffled)
+    rng.shuffle(shuffled)
     first, second = table_of(evidence), table_of(shuffled)
     for fingerprint in "fgh":
         verdicts = {t.get(fingerprint).verdict() for t in (first, second)}
         assert len(verdicts) == 1
-        assert first.get(fingerprint).lost() == second.get(fingerprint).lost()
+        assert (
+            first.get(fingerprint).unresolved_instances()
+            == second.get(fingerprint).unresolved_instances()
+        )
 
 
 @CHECKED
@@ -130,27 +145,27 @@
             for e in evidence
             if e.isolated and fingerprint in e.fingerprints
         }
-        if table.get(fingerprint).verdict() is Verdict.QUARANTINED:
+        if table.get(fingerprint).verdict() is QuarantineVerdict.QUARANTINED:
             assert alone
 
 
 @CHECKED
 @given(st.lists(EVIDENCE, max_size=8))
 def test_only_news_is_passed_on(evidence):
-    """News that went on for ever would circle between the daemons."""
+    """Evidence forwarded without being new would loop between daemons."""
     table = table_of(evidence)
-    assert not any(table.join(one, NOW) for one in evidence)
+    assert not any(table.merge(one, NOW) for one in evidence)
 
 
 @pytest.mark.parametrize(
     ("evidence", "after_s", "left"),
     [
-        ([crash("a/1")], SUSPECT_S - 1, 1),
-        ([crash("a/1")], SUSPECT_S + 1, 0),
-        ([crash("a/1", age=SUSPECT_S)], 1, 0),
-        ([crash("a/1"), crash("b/1", isolated=True)], SUSPECT_S + 1, 1),
-        ([crash("a/1"), crash("b/1", isolated=True)], QUARANTINE_S + 1, 0),
-        ([crash("a/1", age=QUARANTINE_S + 1)], 0, 0),
+        ([crash("a/1")], SUSPECT_TTL_S - 1, 1),
+        ([crash("a/1")], SUSPECT_TTL_S + 1, 0),
+        ([crash("a/1", age=SUSPECT_TTL_S)], 1, 0),
+        ([crash("a/1"), crash("b/1", isolated=True)], SUSPECT_TTL_S + 1, 1),
+        ([crash("a/1"), crash("b/1", isolated=True)], QUARANTINE_TTL_S + 1, 0),
+        ([crash("a/1", age=QUARANTINE_TTL_S + 1)], 0, 0),
     ],
 )
 def test_expiry(evidence, after_s, left):
@@ -162,14 +177,14 @@
 def test_memory_is_bounded_and_convictions_stay():
     """A caller crashes upstreams with ever new bodies.
 
-    Symptom: memory grows, or what was convicted runs again.
-    Cause: each body is another fingerprint with a record of its own.
+    Symptom: memory grows, or quarantined requests run again.
+    Cause: each body has a fingerprint and a record of its own.
     """
     table = table_of([crash("a/1"), crash("b/1", isolated=True)])
     names = [f"s{i}" for i in range(MAX_RECORDS + 10)]
-    table.join(crash("c/1", fingerprints=names), NOW)
+    table.merge(crash("c/1", fingerprints=names), NOW)
     assert len(table.records) == MAX_RECORDS
-    assert table.get("f").verdict() is Verdict.QUARANTINED
+    assert table.get("f").verdict() is QuarantineVerdict.QUARANTINED
     for index in range(20):
-        table.join(crash(f"d/{index}"), NOW)
+        table.merge(crash(f"d/{index}"), NOW)
     assert len(table.get("f").crashes) <= 8
--- a/tests/components/runs/test_two_gates.py
+++ b/tests/components/runs/test_two_gates.py
@@ -101,11 +101,11 @@
         """Choose an upstream without restrictions."""
         return choose_upstream(candidates, tried, source)
 
-    def sending(self, *_):
+    def track_attempt(self, *_):
         """Return a context manager without effect on the request."""
         return threading.Lock()
 
-    def prove(self, _):
+    def record_success(self, _):
         """Ignore a success."""
 
 
