--- a/lacewingdock/components/budgets/__init__.py
+++ b/lacewingdock/components/budgets/__init__.py
@@ -188,7 +188,7 @@
                 )
             return found
 
-    def end_with(self, request: str, answer: Answer) -> None:
+    def set_final_answer(self, request: str, answer: Answer) -> None:
         """Say with which answer a request ends."""
         hold = self.holds.get(request)
         if hold is not None:
--- a/lacewingdock/components/callers/chat.py
+++ b/lacewingdock/components/callers/chat.py
@@ -152,7 +152,7 @@
         except BaseException:
             self.budgets.close(request)
             raise
-        self.budgets.end_with(request, begun.answer)
+        self.budgets.set_final_answer(request, begun.answer)
         return begun
 
     def _outdated(self, revision: int) -> Callable[[LacewingdockError], bool]:
--- a/tests/components/runs/test_two_gates.py
+++ b/tests/components/runs/test_two_gates.py
@@ -133,7 +133,7 @@
     daemon = SimpleNamespace(random=random.Random(1))
     steps = Steps(relay, Cascades(daemon, None))
     budgets = SimpleNamespace(
-        admit_chat=lambda *_: None, end_with=lambda *_: None
+        admit_chat=lambda *_: None, set_final_answer=lambda *_: None
     )
     budgets.close = lambda _request: None
     chat = Chat(entry, relay, KeyRing(""), steps, budgets)
