--- a/lacewingdock/components/budgets/__init__.py
+++ b/lacewingdock/components/budgets/__init__.py
@@ -1,4 +1,4 @@
-"""Support for workspaces' daily budgets at the entry."""
+"""Enforcement of the workspaces' daily budgets at the entry."""
 
 import contextlib
 import threading
@@ -12,14 +12,14 @@
 from lacewingdock.components.answers.answer import Answer
 from lacewingdock.components.billing.const import BYTES_PER_TOKEN, MICROS
 from lacewingdock.components.billing.record import call_cost, token_cost
-from lacewingdock.components.budgets.allowance import Allowance, Exhausted
+from lacewingdock.components.budgets.allowance import Allowance, BudgetExhausted
 from lacewingdock.components.budgets.const import (
     DAY_S,
-    IDLE_S,
+    IDLE_RETURN_S,
     NAME,
-    PREFETCH_S,
+    PREFETCH_WINDOW_S,
     RESERVED_TOKENS,
-    SWEEP_S,
+    SWEEP_INTERVAL_S,
 )
 from lacewingdock.components.configuration import Configuration
 from lacewingdock.components.routing import Plan
@@ -34,50 +34,50 @@
 log = get_logger(NAME)
 
 
-class Hold:
-    """What is set aside for one request until its cost is known.
+class BudgetReservation:
+    """The amount reserved for one request until its cost is known.
 
     Attributes:
-        allowance: Where it came from; None for a request without a budget
-            or beyond it.
-        reserved: Millionths set aside.
-        cost: Millionths of the attempts that have ended.
-        last: The answer with which the request ends; None until known.
+        allowance: The allowance that the amount was reserved from; None for a
+            request without a budget or beyond its budget.
+        reserved: Reserved amount in millionths.
+        cost: Cost in millionths of the attempts that have ended.
+        final_answer: The answer that ends the request; None until known.
     """
 
-    __slots__ = ("allowance", "cost", "last", "reserved")
+    __slots__ = ("allowance", "cost", "final_answer", "reserved")
 
     def __init__(self, allowance: Allowance | None, reserved: int) -> None:
-        """Start before anything ran."""
+        """Create a reservation for a request with no attempt so far."""
         self.allowance = allowance
         self.reserved = reserved
         self.cost = 0
-        self.last: Answer | None = None
+        self.final_answer: Answer | None = None
 
 
 class Budgets:
-    """Lets requests in as far as their workspace's budget goes.
+    """Admits requests while their workspace's daily budget lasts.
 
     Attributes:
         daemon: The daemon.
-        configuration: Gives the prices.
+        configuration: Source of the prices and the workspaces.
         entries: Returns the number of live entries.
-        allowances: What may be spent, by workspace and day.
-        holds: What is set aside, by request id.
-        prefetch_s: Seconds before midnight at which the next day's first
-            allowances are taken.
-        beyond: Counts requests let in beyond a budget.
+        allowances: Allowances by workspace name and day.
+        reservations: Reservations by request id.
+        prefetch_s: Seconds before midnight (UTC) from which the first
+            allowances of the next day are acquired.
+        over_budget: Counter of requests admitted beyond their budget.
     """
 
     __slots__ = (
         "_lock",
         "allowances",
-        "beyond",
         "configuration",
         "daemon",
         "entries",
-        "holds",
+        "over_budget",
         "prefetch_s",
+        "reservations",
     )
 
     def __init__(
@@ -87,16 +87,18 @@
         answers: Answers,
         entries: Callable[[], int],
     ) -> None:
-        """Join the answers."""
+        """Register the counter, and a callback for dropped answers."""
         self.daemon = daemon
         self.configuration = configuration
         self.entries = entries
         self.allowances: dict[tuple[str, str], Allowance] = {}
-        self.holds: dict[str, Hold] = {}
-        self.prefetch_s = daemon.random.uniform(SWEEP_S, PREFETCH_S)
+        self.reservations: dict[str, BudgetReservation] = {}
+        self.prefetch_s = daemon.random.uniform(
+            SWEEP_INTERVAL_S, PREFETCH_WINDOW_S
+        )
         self._lock = threading.Lock()
         answers.on_drop.append(self._on_drop)
-        self.beyond = prometheus_client.Counter(
+        self.over_budget = prometheus_client.Counter(
             "lacewingdock_beyond_budget",
             "Requests let in beyond their workspace's budget",
             ["workspace"],
@@ -104,8 +106,8 @@
         )
 
     def start(self) -> None:
-        """Start giving back what is not used."""
-        self.daemon.every(SWEEP_S, self._sweep)
+        """Start the periodic renewal and return of allowances."""
+        self.daemon.every(SWEEP_INTERVAL_S, self._sweep)
 
     def admit_chat(
         self,
@@ -116,13 +118,14 @@
         prompt_bytes: int,
         max_tokens: int | None,
     ) -> None:
-        """Let a chat completion in, all its steps at once, before any ran.
+        """Admit a chat completion and reserve the cost of all its steps.
 
-        At the limit the plan may be cut to its cheapest step.
+        This happens before any step runs. At the limit the plan may be cut
+        to its cheapest step.
 
         Raises:
-            LacewingdockError: BUDGET_EXHAUSTED or PLATFORM_UNAVAILABLE; it
-                did not run.
+            LacewingdockError: BUDGET_EXHAUSTED or PLATFORM_UNAVAILABLE; the
+                request did not run.
         """
         if workspace.budget is None:
             return
@@ -150,7 +153,7 @@
         method: str,
         path: str,
     ) -> None:
-        """Let a call of a plain service in.
+        """Admit a call of a plain service.
 
         Raises:
             LacewingdockError: As `admit_chat`.
@@ -165,17 +168,21 @@
     def _admit(
         self, request: str, name: str, workspace: Workspace, amount: int
     ) -> bool:
-        """Set an amount aside; False for a request let in beyond the budget."""
+        """Reserve an amount; False if admitted beyond the budget."""
         allowance = self._allowance(name, _day(time.time()))
         try:
             allowance.reserve(amount, _budget(workspace))
         except LacewingdockError as error:
             if workspace.at_limit == AT_LIMIT_REFUSE:
-                raise _final(error) from error
-            self.beyond.labels(name).inc()
-            log.warning("beyond budget", workspace=name, request_id=request)
+                raise _with_retry_after(error) from error
+            self.over_budget.labels(name).inc()
+            log.warning(
+                "request admitted beyond the workspace's budget",
+                workspace=name,
+                request_id=request,
+            )
             return False
-        self.holds[request] = Hold(allowance, amount)
+        self.reservations[request] = BudgetReservation(allowance, amount)
         return True
 
     def _allowance(self, name: str, day: str) -> Allowance:
@@ -189,31 +196,34 @@
             return found
 
     def set_final_answer(self, request: str, answer: Answer) -> None:
-        """Say with which answer a request ends."""
-        hold = self.holds.get(request)
-        if hold is not None:
-            hold.last = answer
+        """Set the answer that ends a request."""
+        reservation = self.reservations.get(request)
+        if reservation is not None:
+            reservation.final_answer = answer
             if answer.dropped:
                 self.close(request)
 
     def close(self, request: str) -> None:
-        """Settle a request; what it did not use may be spent by others."""
-        hold = self.holds.pop(request, None)
-        if hold is not None and hold.allowance is not None:
-            hold.allowance.settle(hold.reserved, hold.cost)
+        """Settle a request and release the unused part of its reservation."""
+        reservation = self.reservations.pop(request, None)
+        if reservation is not None and reservation.allowance is not None:
+            reservation.allowance.settle(reservation.reserved, reservation.cost)
 
     def _on_drop(self, answer: Answer) -> None:
-        """Count an attempt's cost; the last one settles its request."""
+        """Add an attempt's cost; the final answer settles its request."""
         request = answer.attempt.request
-        hold = self.holds.get(request)
-        if hold is None:
+        reservation = self.reservations.get(request)
+        if reservation is None:
             return
-        hold.cost += self._cost(answer)
-        if hold.last is answer:
+        reservation.cost += self._cost(answer)
+        if reservation.final_answer is answer:
             self.close(request)
 
     def _cost(self, answer: Answer) -> int:
-        """What an answer cost, as far as this entry knows."""
+        """Return the cost of an answer in millionths.
+
+        Without the upstream's token counts the cost is an estimate, or zero.
+        """
         attempt = answer.attempt
         world = self.configuration.world
         finish = answer.finish
@@ -229,7 +239,10 @@
         return token_cost(world, attempt.target, *tokens)
 
     def _sweep(self) -> None:
-        """Renew what is in use, give back what is idle, change days."""
+        """Renew used allowances, return idle ones and drop those of past days.
+
+        Shortly before midnight the allowances of the next day are acquired.
+        """
         now = time.time()
         today, tomorrow = _day(now), _day(now + DAY_S)
         for (name, day), allowance in tuple(self.allowances.items()):
@@ -243,17 +256,17 @@
 
     def _renew(self, name: str, allowance: Allowance) -> None:
         workspace = self.configuration.world.workspaces.get(name)
-        idle = time.monotonic() - allowance.used_at > IDLE_S
+        idle = time.monotonic() - allowance.used_at > IDLE_RETURN_S
         if idle and allowance.day == _day(time.time()):
-            allowance.give_back()
+            allowance.return_unused()
         elif workspace is not None and workspace.budget is not None:
             allowance.refill(_budget(workspace))
 
     def unload(self) -> None:
-        """Give back what is left; after a kill it lapses."""
+        """Return unused allowances; those of a killed process lapse."""
         for allowance in tuple(self.allowances.values()):
             with contextlib.suppress(LacewingdockError):
-                allowance.give_back()
+                allowance.return_unused()
 
 
 def _day(now: float) -> str:
@@ -264,8 +277,8 @@
     return round((workspace.budget or 0.0) * MICROS)
 
 
-def _final(error: LacewingdockError) -> LacewingdockError:
-    if not isinstance(error, Exhausted):
+def _with_retry_after(error: LacewingdockError) -> LacewingdockError:
+    if not isinstance(error, BudgetExhausted):
         return error
     return LacewingdockError(
         error.kind, error.detail, retry_after_s=seconds_left(time.time())
@@ -283,7 +296,7 @@
     answers: Answers,
     entries: Callable[[], int],
 ) -> Budgets:
-    """Set the budgets up."""
+    """Create the budgets and add them to the daemon."""
     budgets = Budgets(daemon, configuration, answers, entries)
     daemon.add(NAME, budgets)
     return budgets
--- a/lacewingdock/components/metrics/__init__.py
+++ b/lacewingdock/components/metrics/__init__.py
@@ -1,5 +1,5 @@
-"""Support for metrics of the daemons and one log line for each request.
+"""Metrics of the daemons, and one log line for each request.
 
-Each daemon imports its own module, `entry` or `sidecar`: a sidecar does not
-spend memory on what only an entry needs.
+Each daemon imports its own module, `entry` or `sidecar`, so that a sidecar
+spends no memory on modules that only an entry needs.
 """
--- a/lacewingdock/components/metrics/const.py
+++ b/lacewingdock/components/metrics/const.py
@@ -5,14 +5,15 @@
 NAME: Final = "metrics"
 PREFIX: Final = "lacewingdock_"
 
-# Set by the callers' application once it knows the workspace.
+# WSGI environment key that the application for callers sets once the workspace
+# is known.
 ENVIRON_WORKSPACE: Final = "lacewingdock.workspace"
 
 KIND_CHAT: Final = "chat"
 KIND_OTHER: Final = "other"
 KIND_SERVICE: Final = "service"
 
-# How a request ended.
+# Values of the label `end`: how a request ended.
 END_CUT: Final = "cut"
 END_GONE: Final = "gone"
 END_REFUSED: Final = "refused"
@@ -21,8 +22,8 @@
 VERDICT_GOOD: Final = "good"
 VERDICT_POOR: Final = "poor"
 
-# Bounds in seconds. An objective's limit is judged at the bound at or below
-# it, so the limits that people choose are among them.
+# Histogram bucket bounds in seconds. An objective's limit is evaluated at the
+# bound at or below it, so common limits are among the bounds.
 FIRST_TOKEN_BOUNDS: Final = (
     0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0,
 )  # fmt: skip
--- a/lacewingdock/components/metrics/entry.py
+++ b/lacewingdock/components/metrics/entry.py
@@ -1,4 +1,4 @@
-"""Support for the entry's metrics and its log line for each request."""
+"""The entry's metrics and its log line for each request."""
 
 import contextlib
 import time
@@ -25,7 +25,11 @@
 )
 from lacewingdock.components.metrics.quality import QualitySampler
 from lacewingdock.components.metrics.request import ObservedRequest
-from lacewingdock.components.metrics.shared import Counts, gauge, setup_shared
+from lacewingdock.components.metrics.shared import (
+    CallbackCounter,
+    gauge,
+    setup_shared,
+)
 from lacewingdock.components.metrics.tap import Tap
 from lacewingdock.components.peers import Peers
 from lacewingdock.const import HEADER_REQUEST_ID, HEADER_VERSION
@@ -45,18 +49,19 @@
 
 
 class EntryMetrics:
-    """What an entry counts; everything is observed once for each answer.
+    """Metrics of an entry; each answer is observed once.
 
     Attributes:
         daemon: The daemon.
-        open: The latest answer asked for and its tap, by request id.
+        open: The latest attempt's answer and its tap, by request id.
         requests: Requests by workspace, kind, end and code.
-        tokens: Tokens of whole answers by workspace, version and direction.
+        tokens: Tokens of complete answers by workspace, version and direction.
         first_token: Seconds to the first token.
         inter_token: Mean seconds between the tokens of an answer.
         stall: Longest pause within an answer, in seconds.
-        ratings: Rated answers that were given, by verdict.
-        sampler: Rates a sample of the answers; None without a service.
+        ratings: Rated answers that callers received, by verdict.
+        sampler: Rates a sample of the answers; None without a
+            rating service.
     """
 
     __slots__ = (
@@ -81,7 +86,7 @@
         self.daemon = daemon
         self.sampler = sampler
         self.open: dict[str, tuple[Answer, Tap]] = {}
-        answers.on_ask.append(self._on_ask)
+        answers.on_ask.append(self._on_attempt)
         by_version = ("workspace", "version")
         registry = daemon.metrics
         self.requests = Counter(
@@ -130,7 +135,7 @@
             lambda: len(answers.open),
         )
         registry.register(
-            Counts(
+            CallbackCounter(
                 "answers_reattached",
                 "Answers taken up again over a new link",
                 [],
@@ -139,7 +144,7 @@
         )
 
     def observe(self, app: App) -> App:
-        """Wrap the callers' application so that each request is counted."""
+        """Wrap the WSGI application so that each request is counted."""
 
         def observed(
             environ: dict[str, Any], start_response: Callable[..., Any]
@@ -147,7 +152,7 @@
             request = ObservedRequest(environ)
 
             def start(status: str, headers: Any, *rest: Any) -> Any:
-                request.head(status, headers)
+                request.set_head(status, headers)
                 return start_response(status, headers, *rest)
 
             return _Body(app(environ, start), request, self)
@@ -157,23 +162,23 @@
     def _rate(
         self, answer: Answer, pieces: list[bytes], workspace: str
     ) -> None:
-        """Rate an answer that was given; the caller does not wait for it."""
+        """Rate a delivered answer; the caller does not wait for it."""
         assert self.sampler is not None
         good = self.sampler.is_good(answer.attempt.body, pieces)
         if good is not None:
-            self.rated(workspace, answer.attempt.target, good)
+            self.count_rating(workspace, answer.attempt.target, good)
 
-    def rated(self, workspace: str, version: str, good: bool) -> None:
-        """Count the verdict on an answer that a caller was given."""
+    def count_rating(self, workspace: str, version: str, good: bool) -> None:
+        """Count the verdict on an answer that a caller received."""
         verdict = VERDICT_GOOD if good else VERDICT_POOR
         self.ratings.labels(workspace, version, verdict).inc()
 
-    def _on_ask(self, answer: Answer) -> None:
-        tap = Tap(self.sampler is not None and self.sampler.choose())
-        answer.tap = tap.see
+    def _on_attempt(self, answer: Answer) -> None:
+        tap = Tap(self.sampler is not None and self.sampler.should_sample())
+        answer.tap = tap.observe_piece
         self.open[answer.attempt.request] = (answer, tap)
 
-    def take(self, request: ObservedRequest) -> None:
+    def record(self, request: ObservedRequest) -> None:
         """Count and log a request whose answer has ended."""
         found = self.open.pop(request.headers.get(_ID, ""), None)
         workspace = request.environ.get(ENVIRON_WORKSPACE, "")
@@ -195,19 +200,19 @@
         }
         if found is not None:
             answer, tap = found
-            fields |= self._take_answer(request, answer, tap, workspace)
+            fields |= self._record_answer(request, answer, tap, workspace)
             if tap.kept and request.end == END_WHOLE and kind == KIND_CHAT:
                 self.daemon.spawn(self._rate, answer, tap.kept, workspace)
         log.info("request", **fields)
 
-    def _take_answer(
+    def _record_answer(
         self,
         request: ObservedRequest,
         answer: Answer,
         tap: Tap,
         workspace: str,
     ) -> dict[str, Any]:
-        """Count what only an answer has, and return its log fields."""
+        """Record the metrics of an answer and return its log fields."""
         attempt, upstream = answer.attempt, answer.upstream
         version = request.headers.get(_VERSION, "")
         fields: dict[str, Any] = {
@@ -222,22 +227,22 @@
             fields["output_tokens"] = answer.finish.output_tokens
             self.tokens.labels(*labels, "input").inc(fields["input_tokens"])
             self.tokens.labels(*labels, "output").inc(fields["output_tokens"])
-        # The first write of a refused request is no token.
+        # The first write of a refused request is not a token.
         if request.is_stream and request.first_s is not None:
             fields["first_token_s"] = round(request.first_s, 6)
             self.first_token.labels(*labels).observe(request.first_s)
             fields["bytes"] = tap.size
-            self._take_gaps(request, answer.next_offset, tap, labels)
+            self._record_gaps(request, answer.next_offset, tap, labels)
         return fields
 
-    def _take_gaps(
+    def _record_gaps(
         self,
         request: ObservedRequest,
         pieces: int,
         tap: Tap,
         labels: tuple[str, str],
     ) -> None:
-        # How long a caller that left would have waited isn't known.
+        # The gaps are unknown for a caller that disconnected early.
         if pieces < 2 or request.end == END_GONE:
             return
         assert request.first_s is not None
@@ -246,11 +251,11 @@
         self.stall.labels(*labels).observe(tap.largest_gap_s)
 
     def unload(self) -> None:
-        """Nothing is held beyond the daemon's registry."""
+        """Do nothing: the metrics belong to the daemon's registry."""
 
 
 class _Body:
-    """The observed body; closing it, read or not, ends the request."""
+    """An observed response body; closing it, read or not, ends the request."""
 
     __slots__ = ("_body", "_metrics", "_request")
 
@@ -265,7 +270,7 @@
         self._metrics = metrics
 
     def __iter__(self) -> Iterator[bytes]:
-        return self._request.watch(self._body)
+        return self._request.observe_body(self._body)
 
     def close(self) -> None:
         """Count the request (called by the server)."""
@@ -273,7 +278,7 @@
             with contextlib.suppress(AttributeError):
                 self._body.close()  # type: ignore[attr-defined]
         finally:
-            self._metrics.take(self._request)
+            self._metrics.record(self._request)
 
 
 def _kind(path: str) -> str:
@@ -289,7 +294,7 @@
     answers: Answers,
     ratings: RatingService | None,
 ) -> EntryMetrics:
-    """Set the entry's metrics up."""
+    """Create the entry's metrics and add them to the daemon."""
     setup_shared(daemon, peers)
     sampler = None
     if ratings is not None:
--- a/lacewingdock/components/metrics/quality.py
+++ b/lacewingdock/components/metrics/quality.py
@@ -1,4 +1,4 @@
-"""Support for rating a sample of the answers that callers were given."""
+"""Rating of a random sample of the answers that callers received."""
 
 import random
 from typing import Any
@@ -14,52 +14,54 @@
 log = get_logger("quality")
 
 
-class _Asked(msgspec.Struct):
+class _ChatRequest(msgspec.Struct):
     messages: list[dict[str, Any]]
 
 
 class QualitySampler:
-    """Chooses answers at random and rates them after they were given.
+    """Samples answers at random and rates them after their delivery.
 
     Attributes:
         ratings: The rating service.
-        share: Part of the answers that is rated.
+        share: Fraction of the answers that is rated.
         good_rating: Lowest rating of a good answer.
-        source: Source of the choice.
+        rng: Random number generator of the sampling.
     """
 
-    __slots__ = ("good_rating", "ratings", "share", "source")
+    __slots__ = ("good_rating", "ratings", "rng", "share")
 
     def __init__(
         self,
         ratings: RatingService,
         share: float,
         good_rating: float,
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Take what it works with."""
+        """Create a sampler for a rating service."""
         self.ratings = ratings
         self.share = share
         self.good_rating = good_rating
-        self.source = source
+        self.rng = rng
 
-    def choose(self) -> bool:
-        """Tell whether the next answer belongs to the sample."""
-        return self.source.random() < self.share
+    def should_sample(self) -> bool:
+        """Return whether to include the next answer in the sample."""
+        return self.rng.random() < self.share
 
-    def is_good(self, asked: bytes, given: list[bytes]) -> bool | None:
-        """Rate an answer.
+    def is_good(
+        self, request_body: bytes, answer_pieces: list[bytes]
+    ) -> bool | None:
+        """Rate an answer and compare the rating with `good_rating`.
 
         Args:
-            asked: Body of the request as the upstream got it.
-            given: Pieces of the answer.
+            request_body: Body of the request as sent to the upstream.
+            answer_pieces: Pieces of the answer.
 
         Returns:
-            The verdict; None when there is none.
+            Whether the answer is good; None if it could not be rated.
         """
         try:
-            text = assemble(given)["choices"][0]["message"]["content"]
-            messages = decode_json(asked, _Asked).messages
+            text = assemble(answer_pieces)["choices"][0]["message"]["content"]
+            messages = decode_json(request_body, _ChatRequest).messages
             rating = self.ratings.rate(messages, text)
         except (
             LacewingdockError,
@@ -67,6 +69,6 @@
             LookupError,
             TypeError,
         ) as error:
-            log.info("not rated", error=str(error))
+            log.info("could not rate an answer", error=str(error))
             return None
         return rating >= self.good_rating
--- a/lacewingdock/components/metrics/request.py
+++ b/lacewingdock/components/metrics/request.py
@@ -1,4 +1,4 @@
-"""Support for observing one request of a caller from outside."""
+"""Observation of one caller's request at the WSGI boundary."""
 
 import time
 from collections.abc import Iterable, Iterator
@@ -25,18 +25,19 @@
 
 
 class ObservedRequest:
-    """What can be seen of a request and its answer at the callers' port.
+    """Status, timing and outcome of a request, as its caller sees them.
 
     Attributes:
         environ: The WSGI environment.
         started: Monotonic time of the request.
         status: HTTP status of the answer.
         headers: Headers of the answer by lower-case name.
-        first_s: Seconds to the first bytes; None before.
-        last_s: Seconds to the latest bytes.
-        sent: Bytes of the body that the caller's own task wrote.
-        end: How it ended.
-        problem: The error that was answered, if one was.
+        first_s: Seconds to the first bytes of the body; None before them.
+        last_s: Seconds to the latest bytes of the body.
+        sent: Bytes of the body written by the task that serves the caller.
+        end: How the request ended, one of the `END_` constants.
+        problem: The error in the response; its fields are empty without an
+            error.
     """
 
     __slots__ = (
@@ -52,7 +53,7 @@
     )
 
     def __init__(self, environ: dict[str, Any]) -> None:
-        """Start when the request was read."""
+        """Start the timing of a request that was just read."""
         self.environ = environ
         self.started = time.monotonic()
         self.status = 0
@@ -60,22 +61,22 @@
         self.first_s: float | None = None
         self.last_s = 0.0
         self.sent = 0
-        # Until the body's end is seen, its reader may have gone away.
+        # The caller may disconnect at any time before the end of the body.
         self.end = END_GONE
         self.problem = _Problem()
 
-    def head(self, status: str, headers: list[tuple[str, str]]) -> None:
-        """Take the answer's status and headers."""
+    def set_head(self, status: str, headers: list[tuple[str, str]]) -> None:
+        """Set the status and headers of the answer."""
         self.status = int(status[:3])
         self.headers = {name.lower(): value for name, value in headers}
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer comes as events."""
+        """Whether the answer is a stream of server-sent events."""
         return self.headers.get("content-type", "").startswith(EVENT_STREAM)
 
-    def watch(self, body: Iterable[bytes]) -> Iterator[bytes]:
-        """Pass the body on and look at each write of the caller's task."""
+    def observe_body(self, body: Iterable[bytes]) -> Iterator[bytes]:
+        """Yield the body unchanged, recording its timing, size and errors."""
         cut = False
         is_problem = self.headers.get("content-type") == PROBLEM
         for data in body:
@@ -88,7 +89,8 @@
             elif is_problem:
                 self._read_problem(data)
             yield data
-            # Only now was it taken; a slow caller's pause is not ours.
+            # The server resumes here once it has written the data; the
+            # delay of a slow caller is not the router's.
             self.last_s = time.monotonic() - self.started
         if cut:
             self.end = END_CUT
--- a/lacewingdock/components/metrics/shared.py
+++ b/lacewingdock/components/metrics/shared.py
@@ -1,4 +1,4 @@
-"""Support for metrics that both daemons have."""
+"""Metrics that the entry and the sidecar share."""
 
 from collections.abc import Callable, Iterator, Mapping
 
@@ -12,11 +12,11 @@
 from lacewingdock.core import Daemon
 
 
-class Counts(Collector):
-    """Counts that are kept elsewhere and read on each scrape.
+class CallbackCounter(Collector):
+    """A counter whose values a callback returns on each scrape.
 
     Attributes:
-        family: Name, help and label names.
+        family: Metric name, help text and label names.
         read: Returns the counts by label value.
     """
 
@@ -27,12 +27,12 @@
         labels: list[str],
         read: Callable[[], Mapping[str, float]],
     ) -> None:
-        """Take what is read; at most one label."""
+        """Create a counter with at most one label."""
         self.family = (PREFIX + name, help_text, labels)
         self.read = read
 
     def collect(self) -> Iterator[CounterMetricFamily]:
-        """Yield the counts (called on each scrape)."""
+        """Yield the counter family (called on each scrape)."""
         name, help_text, labels = self.family
         family = CounterMetricFamily(name, help_text, labels=labels)
         for value, count in tuple(self.read().items()):
@@ -43,20 +43,20 @@
 def gauge(
     daemon: Daemon, name: str, help_text: str, value: Callable[[], float]
 ) -> None:
-    """Add a gauge that is read on each scrape."""
+    """Register a gauge whose value a callback returns on each scrape."""
     prometheus_client.Gauge(
         PREFIX + name, help_text, registry=daemon.metrics
     ).set_function(value)
 
 
 def setup_shared(daemon: Daemon, peers: Peers) -> None:
-    """Add what both daemons show: build, process, links, platform calls."""
+    """Register the build, process, link and platform call metrics."""
     prometheus_client.ProcessCollector(registry=daemon.metrics)
     prometheus_client.Info(
         f"{PREFIX}build", "Version and role", registry=daemon.metrics
     ).info({"version": VERSION, "role": daemon.me.role})
     daemon.metrics.register(
-        Counts(
+        CallbackCounter(
             "platform_calls",
             "Calls to the platform; a waiting watch is one",
             ["purpose"],
--- a/lacewingdock/components/metrics/sidecar.py
+++ b/lacewingdock/components/metrics/sidecar.py
@@ -1,4 +1,4 @@
-"""Support for the sidecar's metrics and its log line for each attempt."""
+"""The sidecar's metrics and its log line for each attempt."""
 
 import time
 from typing import Any
@@ -22,13 +22,13 @@
 
 
 class SidecarMetrics:
-    """What a sidecar counts.
+    """Metrics of a sidecar.
 
     Attributes:
         kind: Kind of the upstream.
         upstream: URL of the upstream.
         attempts: Attempts by kind of upstream and outcome.
-        seconds: Seconds an attempt took, queue included.
+        seconds: Duration of attempts in seconds, time in the queue included.
     """
 
     __slots__ = ("attempts", "kind", "seconds", "upstream")
@@ -65,10 +65,10 @@
             "Requests waiting for the upstream",
             lambda: slots.queued,
         )
-        runs.on_end = self.take
+        runs.on_end = self.record
 
-    def take(self, run: Run, started: float) -> None:
-        """Count and log an attempt that has ended here."""
+    def record(self, run: Run, started: float) -> None:
+        """Count and log an attempt that ended at this sidecar."""
         seconds = time.monotonic() - started
         fields: dict[str, Any] = {}
         match run.outcome:
@@ -80,7 +80,7 @@
                 outcome = str(refusal.code)
                 fields["ran"] = refusal.ran
             case None:
-                # It repeats a run that is under way, whose answer it gets.
+                # The attempt joined a run in progress and receives its answer.
                 outcome = OUTCOME_JOINED
         self.attempts.labels(self.kind, outcome).inc()
         self.seconds.labels(self.kind).observe(seconds)
@@ -99,13 +99,13 @@
         )
 
     def unload(self) -> None:
-        """Nothing is held beyond the daemon's registry."""
+        """Do nothing: the metrics belong to the daemon's registry."""
 
 
 def setup(
     daemon: Daemon, settings: SidecarSettings, peers: Peers, runs: Runs
 ) -> SidecarMetrics:
-    """Set the sidecar's metrics up."""
+    """Create the sidecar's metrics and add them to the daemon."""
     setup_shared(daemon, peers)
     metrics = SidecarMetrics(daemon, settings, runs)
     daemon.add(NAME, metrics)
--- a/tests/components/budgets/test_allowance.py
+++ b/tests/components/budgets/test_allowance.py
@@ -1,4 +1,4 @@
-"""Tests of allowances: what is spent never passes what was granted."""
+"""Tests of allowances: the amount spent never exceeds the grants."""
 
 import pytest
 from hypothesis import settings
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from lacewingdock.components.budgets import const, seconds_left
-from lacewingdock.components.budgets.allowance import Allowance, Exhausted
+from lacewingdock.components.budgets.allowance import Allowance, BudgetExhausted
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from tests.fakes import FakeStore
 
@@ -19,12 +19,12 @@
 
 
 class BudgetMachine(RuleBasedStateMachine):
-    """Symptom: a workspace spends more than its budget.
+    """Guards against a workspace that spends more than its budget.
 
-    Events: entries take allowances at the same time, give them back, die;
-    writes lose their answer, take no effect, take effect late; requests cost
-    less or more than was reserved. Cause: an allowance is counted in two
-    places, or given back twice.
+    That happens if an allowance is counted in two places or returned twice.
+    Entries acquire and return allowances concurrently and die; writes lose
+    their answer, have no effect or take effect late; requests cost less or
+    more than was reserved.
     """
 
     def __init__(self):
@@ -37,17 +37,17 @@
         self.entries = {name: self.start() for name in ENTRIES}
 
     def start(self):
-        """Return an entry's allowance with nothing in it."""
+        """Return an empty allowance for an entry."""
         return allowance(self.store, lambda: self.now)
 
     @rule(
         entry=st.sampled_from(ENTRIES),
         amount=st.integers(1, 1500),
-        fate=st.sampled_from(["ok", "ok", "lost", "dropped", "late"]),
+        outcome=st.sampled_from(["ok", "ok", "lost", "dropped", "late"]),
     )
-    def begin(self, entry, amount, fate):
-        """Let a request in, or refuse it."""
-        self.store.write_outcomes.append(fate)
+    def begin(self, entry, amount, outcome):
+        """Admit a request, or refuse it."""
+        self.store.write_outcomes.append(outcome)
         try:
             self.entries[entry].reserve(amount, BUDGET)
             self.open.append((self.entries[entry], amount))
@@ -59,28 +59,28 @@
     def end(self, part):
         """End the oldest request."""
         if self.open:
-            held, reserved = self.open.pop(0)
+            allowance_used, reserved = self.open.pop(0)
             cost = int(reserved * part)
-            held.settle(reserved, cost)
+            allowance_used.settle(reserved, cost)
             self.spent += cost
             self.excess += max(0, cost - reserved)
 
     @rule(
         entry=st.sampled_from(ENTRIES),
-        fate=st.sampled_from(["ok", "lost", "dropped", "late"]),
+        outcome=st.sampled_from(["ok", "lost", "dropped", "late"]),
     )
-    def give_back(self, entry, fate):
-        """Return what is left."""
-        self.store.write_outcomes.append(fate)
+    def return_unused(self, entry, outcome):
+        """Return the unused amount of an entry."""
+        self.store.write_outcomes.append(outcome)
         try:
-            self.entries[entry].give_back()
+            self.entries[entry].return_unused()
         except LacewingdockError as error:
             assert error.kind is ErrorKind.PLATFORM_UNAVAILABLE
         self.store.write_outcomes.clear()
 
     @rule(entry=st.sampled_from(ENTRIES))
     def kill(self, entry):
-        """Kill an entry; what its open requests cost still counts."""
+        """Kill an entry; the cost of its open requests still counts."""
         self.entries[entry] = self.start()
 
     @rule(wait=st.sampled_from([1.0, 60.0]))
@@ -92,7 +92,7 @@
 
     @invariant()
     def bounded(self):
-        """Spent, set aside and left stay within what was granted."""
+        """Check that spent, reserved and unused amounts stay within grants."""
         reserved = sum(amount for _, amount in self.open)
         left = sum(entry.left for entry in self.entries.values())
         stored = self.store.objects.get("budgets", {}).get("20260102.w")
@@ -112,7 +112,7 @@
 def test_the_budget_is_spent_but_for_a_small_part(entries):
     store = FakeStore()
     now = [0.0]
-    # A few entries get requests of a budget that all share.
+    # Only a few of the entries that share the budget receive requests.
     users = [allowance(store, lambda: now[0], entries) for _ in range(4)]
     spent = 0
     for _ in range(20_000):
@@ -120,17 +120,16 @@
         for user in users:
             try:
                 user.reserve(100_000, 1_000_000_000)
-            except Exhausted:
+            except BudgetExhausted:
                 continue
             user.settle(100_000, 100_000)
             spent += 100_000
     assert 0.99 < spent / 1_000_000_000 <= 1.0
-    assert len(store.history) <= const.MAX_TAKES
+    assert len(store.history) <= const.MAX_GRANTS
 
 
-# Symptom: a brand's requests wait, then fail, one by one, through an outage.
-# Events: the platform goes down; the allowance runs out. Cause: each request
-# asks the platform itself.
+# Guards against requests that each wait for the platform and then fail during
+# an outage: with the allowance used up, each one called the platform itself.
 def test_an_outage_is_bounded_by_what_was_granted():
     store = FakeStore()
     user = allowance(store)
@@ -152,9 +151,9 @@
     assert store.calls["budgets"] == calls["budgets"] + 1
 
 
-# Symptom: requests wait for the platform, or fail in its outage, though the
-# day's budget is hardly touched. Events: an allowance runs out just when the
-# platform is down. Cause: it is only renewed once it is used up.
+# Guards against requests that wait for the platform, or fail in its outage,
+# while most of the daily budget is left: an allowance that is renewed only once
+# it is used up may run out while the platform is down.
 def test_an_allowance_is_renewed_before_it_runs_out():
     store = FakeStore()
     now = [0.0]
@@ -178,54 +177,54 @@
     assert seconds_left(now) == left
 
 
-class OvertakenStore(FakeStore):
-    """A platform in which others change the account before each write.
+class ConflictingStore(FakeStore):
+    """A store in which other entries update the account before each write.
 
     Attributes:
-        overtaken: Writes yet to be overtaken.
+        conflicts: Number of writes that still conflict.
     """
 
-    def __init__(self, overtaken):
+    def __init__(self, conflicts):
         super().__init__()
-        self.overtaken = overtaken
+        self.conflicts = conflicts
 
     def put(self, collection, name, value, expect, purpose):
-        """Write, or find that another was first."""
-        if self.overtaken:
-            self.overtaken -= 1
+        """Write an object, or raise a conflict."""
+        if self.conflicts:
+            self.conflicts -= 1
             raise LacewingdockError(ErrorKind.CONFLICT, name)
         return super().put(collection, name, value, expect, purpose)
 
 
 @pytest.mark.parametrize(
-    ("overtaken", "is_taken"),
+    ("conflicts", "is_granted"),
     [
         (0, True),
-        (const.CONFLICT_TRIES - 1, True),
-        (const.CONFLICT_TRIES, False),
+        (const.MAX_CONFLICT_ATTEMPTS - 1, True),
+        (const.MAX_CONFLICT_ATTEMPTS, False),
     ],
 )
-def test_entries_that_take_at_once(overtaken, is_taken):
-    """Symptom: requests are refused although the budget is untouched.
+def test_entries_that_take_at_once(conflicts, is_granted):
+    """Guards against refused requests although the budget is unused.
 
-    Events: all entries start and take their first allowance at the same
-    moment; one write wins, the others try again at once and meet again.
-    Cause: the tries had no pause in between and were soon used up.
+    All entries start and acquire their first grant at the same moment; one
+    write wins. Without a backoff the other entries retry at once, conflict
+    again and soon use up their retries.
     """
     pauses = []
-    store = OvertakenStore(overtaken)
+    store = ConflictingStore(conflicts)
     entry = Allowance(
         store, "w", "20260102", lambda: 3, lambda: 0.0, pauses.append
     )
-    if is_taken:
+    if is_granted:
         entry.reserve(10, BUDGET)
     else:
         with pytest.raises(LacewingdockError) as refused:
             entry.reserve(10, BUDGET)
         assert refused.value.kind is ErrorKind.PLATFORM_UNAVAILABLE
-    assert len(pauses) == min(overtaken, const.CONFLICT_TRIES - 1)
+    assert len(pauses) == min(conflicts, const.MAX_CONFLICT_ATTEMPTS - 1)
     assert sum(pauses) <= 1.0 + 0.01
-    # Each is drawn at random within a bound that grows.
-    bounds = [const.CONFLICT_FIRST_S * 2**n for n in range(len(pauses))]
-    bounds = [min(b, const.CONFLICT_LIMIT_S) for b in bounds]
+    # Each backoff is random within an exponentially growing bound.
+    bounds = [const.CONFLICT_BACKOFF_S * 2**n for n in range(len(pauses))]
+    bounds = [min(b, const.MAX_CONFLICT_BACKOFF_S) for b in bounds]
     assert all(0 < p <= b for p, b in zip(pauses, bounds, strict=True))
--- a/tests/components/budgets/test_budget_path.py
+++ b/tests/components/budgets/test_budget_path.py
@@ -1,4 +1,4 @@
-"""Tests of budgets through real processes."""
+"""End-to-end tests of budgets with real processes."""
 
 import pytest
 
@@ -26,10 +26,10 @@
     deployment.wait_revision(apply(deployment, manifest))
 
 
-# Symptom: a workspace runs past its budget through several entries, or a
-# refusal at the limit doesn't say when to come back. Events: requests alternate
-# between two entries until both have nothing left. Cause: each entry counts
-# for itself.
+# Guards against a workspace that exceeds its budget through several entries, as
+# happens if each entry counts on its own, and against a refusal at the limit
+# without a retry time. Requests alternate between two entries until the
+# allowances of both are used up.
 @pytest.mark.parametrize(
     ("at_limit", "status", "version"),
     [
--- a/tests/components/metrics/test_logs.py
+++ b/tests/components/metrics/test_logs.py
@@ -26,11 +26,11 @@
         yield running
 
 
-def line_of(deployment, name, request):
-    """Return a daemon's one line on a request that has ended."""
+def read_log_line(deployment, name, request):
+    """Return the single log line of a daemon for a finished request."""
 
     def found():
-        # Each line must be JSON; the last one may be on its way.
+        # Each line must be JSON; the last line may be incomplete.
         text = (deployment.folder / f"{name}.log").read_text()
         whole = map(json.loads, text.rpartition("\n")[0].splitlines())
         return [
@@ -40,7 +40,7 @@
             and line["logger"] in ("request", "attempt")
         ]
 
-    # The caller has the answer before the line is written.
+    # The caller receives the answer before the line is written.
     wait_until(lambda: bool(found()), f"{name} did not log {request}")
     (line,) = found()
     return line
@@ -49,8 +49,8 @@
 def test_a_request_can_be_followed_through_both_logs(deployment):
     reply = chat(deployment, "a sofa", stream=True, tokens=6)
     request = reply.headers["lacewingdock-request-id"]
-    entry = line_of(deployment, "entry-0", request)
-    sidecar = line_of(deployment, "worker-0", request)
+    entry = read_log_line(deployment, "entry-0", request)
+    sidecar = read_log_line(deployment, "worker-0", request)
     assert entry["attempt_id"] == sidecar["attempt_id"]
     for name in ("workspace", "version"):
         assert entry[name] == sidecar[name] != ""
@@ -71,17 +71,17 @@
     secrets += [k.split()[1] for k in (LINK_KEYS, SESSION_KEYS)]
     for process in deployment.daemons():
         log = (deployment.folder / f"{process.name}.log").read_text()
-        shown = call(
+        metrics_text = call(
             "GET", f"{process.url('admin_port')}/metrics"
         ).body.decode()
         for secret in secrets:
             assert secret not in log
-            assert secret not in shown
+            assert secret not in metrics_text
 
 
 def test_metrics_of_both_daemons(deployment):
     chat(deployment, "a bed", stream=True)
-    shown = {
+    metrics_text = {
         name: call("GET", f"{process.url('admin_port')}/metrics").body.decode()
         for name, process in deployment.processes.items()
         if "admin_port" in process.ports
@@ -101,7 +101,7 @@
         ],
     }.items():
         for text in wanted:
-            assert f"\nlacewingdock_{text}" in shown[name], text
+            assert f"\nlacewingdock_{text}" in metrics_text[name], text
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
 
 def test_report_reads_the_daemons_of_the_platforms_list(deployment, tmp_path):
     chat(deployment, "a chair", stream=True)
-    shown = []
+    output = []
     url = deployment.processes["platform"].url()
     settings = ReportSettings(
         platform=url,
@@ -131,10 +131,10 @@
         samples=str(tmp_path / "samples"),
         html=str(tmp_path / "page.html"),
     )
-    report(settings, shown.append)
-    whole = json.loads(shown[0])
-    assert whole["unreachable"] == {}
-    available = whole["objectives"][0]
+    report(settings, output.append)
+    result = json.loads(output[0])
+    assert result["unreachable"] == {}
+    available = result["objectives"][0]
     assert available["measure"] == "availability"
     assert available["windows"][-1]["good"] >= 1
     assert len(load_samples(settings.samples)) == len(deployment.daemons())
--- a/tests/components/metrics/test_requests.py
+++ b/tests/components/metrics/test_requests.py
@@ -1,4 +1,4 @@
-"""Tests for what an entry counts of a request, seen from outside."""
+"""Tests for the request metrics of an entry at the WSGI boundary."""
 
 import types
 
@@ -24,11 +24,11 @@
     "application/problem+json",
     [b'{"code":"model_not_allowed","ran":"no"}'],
 )
-ODD = ("500 X", "application/problem+json", [b"["])
+MALFORMED = ("500 X", "application/problem+json", [b"["])
 
 
 def serve(answer, read):
-    """Let an observed application answer once; return the registry."""
+    """Serve one request through the metrics; return the registry."""
     status, media, body = answer
     answers = types.SimpleNamespace(on_ask=[], open={}, reattached=Tally())
     daemon = types.SimpleNamespace(metrics=CollectorRegistry())
@@ -41,11 +41,13 @@
             address="127.0.0.1:1",
         )
     )
-    asked = Answer(upstream, Attempt("a", "r1", "retail", "v1", "", "", b""))
-    asked.next_offset = 2
-    asked.finish = Finish("a", 2, input_tokens=3, output_tokens=2)
+    request_body = Answer(
+        upstream, Attempt("a", "r1", "retail", "v1", "", "", b"")
+    )
+    request_body.next_offset = 2
+    request_body.finish = Finish("a", 2, input_tokens=3, output_tokens=2)
     for callback in answers.on_ask:
-        callback(asked)
+        callback(request_body)
 
     def app(environ, start_response):
         environ["lacewingdock.workspace"] = "retail"
@@ -74,7 +76,7 @@
         (STREAM, 0, "gone", "", 0),
         (CUT, 9, "cut", "deadline", 1),
         (REFUSED, 9, "refused", "model_not_allowed", 0),
-        (ODD, 9, "refused", "internal", 0),
+        (MALFORMED, 9, "refused", "internal", 0),
     ],
 )
 def test_a_request_is_counted_once_by_its_end(answer, read, end, code, gaps):
