--- a/lacewingdock/components/budgets/__init__.py
+++ b/lacewingdock/components/budgets/__init__.py
@@ -169,9 +169,9 @@
         self, request: str, name: str, workspace: Workspace, amount: int
     ) -> bool:
         """Reserve an amount; False if admitted beyond the budget."""
-        allowance = self._allowance(name, _day(time.time()))
+        allowance = self._allowance(name, _utc_day(time.time()))
         try:
-            allowance.reserve(amount, _budget(workspace))
+            allowance.reserve(amount, _daily_budget(workspace))
         except LacewingdockError as error:
             if workspace.at_limit == AT_LIMIT_REFUSE:
                 raise _with_retry_after(error) from error
@@ -244,7 +244,7 @@
         Shortly before midnight the allowances of the next day are acquired.
         """
         now = time.time()
-        today, tomorrow = _day(now), _day(now + DAY_S)
+        today, tomorrow = _utc_day(now), _utc_day(now + DAY_S)
         for (name, day), allowance in tuple(self.allowances.items()):
             if day not in (today, tomorrow):
                 del self.allowances[name, day]
@@ -257,10 +257,10 @@
     def _renew(self, name: str, allowance: Allowance) -> None:
         workspace = self.configuration.world.workspaces.get(name)
         idle = time.monotonic() - allowance.used_at > IDLE_RETURN_S
-        if idle and allowance.day == _day(time.time()):
+        if idle and allowance.day == _utc_day(time.time()):
             allowance.return_unused()
         elif workspace is not None and workspace.budget is not None:
-            allowance.refill(_budget(workspace))
+            allowance.refill(_daily_budget(workspace))
 
     def unload(self) -> None:
         """Return unused allowances; those of a killed process lapse."""
@@ -269,11 +269,11 @@
                 allowance.return_unused()
 
 
-def _day(now: float) -> str:
+def _utc_day(now: float) -> str:
     return time.strftime("%Y%m%d", time.gmtime(now))
 
 
-def _budget(workspace: Workspace) -> int:
+def _daily_budget(workspace: Workspace) -> int:
     return round((workspace.budget or 0.0) * MICROS)
 
 
--- a/lacewingdock/components/metrics/entry.py
+++ b/lacewingdock/components/metrics/entry.py
@@ -27,8 +27,8 @@
 from lacewingdock.components.metrics.request import ObservedRequest
 from lacewingdock.components.metrics.shared import (
     CallbackCounter,
-    gauge,
-    setup_shared,
+    register_gauge,
+    register_shared_metrics,
 )
 from lacewingdock.components.metrics.tap import Tap
 from lacewingdock.components.peers import Peers
@@ -128,7 +128,7 @@
             (*by_version, "verdict"),
             registry=registry,
         )
-        gauge(
+        register_gauge(
             daemon,
             "answers_open",
             "Attempts whose answer has not ended",
@@ -182,7 +182,7 @@
         """Count and log a request whose answer has ended."""
         found = self.open.pop(request.headers.get(_ID, ""), None)
         workspace = request.environ.get(ENVIRON_WORKSPACE, "")
-        kind = _kind(request.environ.get("PATH_INFO", ""))
+        kind = _request_kind(request.environ.get("PATH_INFO", ""))
         self.requests.labels(
             workspace, kind, request.end, request.problem.code
         ).inc()
@@ -281,7 +281,7 @@
             self._metrics.record(self._request)
 
 
-def _kind(path: str) -> str:
+def _request_kind(path: str) -> str:
     if path == CHAT_PATH:
         return KIND_CHAT
     return KIND_SERVICE if path.startswith(SERVICES_PREFIX) else KIND_OTHER
@@ -295,7 +295,7 @@
     ratings: RatingService | None,
 ) -> EntryMetrics:
     """Create the entry's metrics and add them to the daemon."""
-    setup_shared(daemon, peers)
+    register_shared_metrics(daemon, peers)
     sampler = None
     if ratings is not None:
         sampler = QualitySampler(
--- a/lacewingdock/components/metrics/request.py
+++ b/lacewingdock/components/metrics/request.py
@@ -61,7 +61,8 @@
         self.first_s: float | None = None
         self.last_s = 0.0
         self.sent = 0
-        # The caller may disconnect at any time before the end of the body.
+        # Default until the end of the body is seen: before that, the caller
+        # may have disconnected.
         self.end = END_GONE
         self.problem = _Problem()
 
--- a/lacewingdock/components/metrics/shared.py
+++ b/lacewingdock/components/metrics/shared.py
@@ -40,7 +40,7 @@
         yield family
 
 
-def gauge(
+def register_gauge(
     daemon: Daemon, name: str, help_text: str, value: Callable[[], float]
 ) -> None:
     """Register a gauge whose value a callback returns on each scrape."""
@@ -49,7 +49,7 @@
     ).set_function(value)
 
 
-def setup_shared(daemon: Daemon, peers: Peers) -> None:
+def register_shared_metrics(daemon: Daemon, peers: Peers) -> None:
     """Register the build, process, link and platform call metrics."""
     prometheus_client.ProcessCollector(registry=daemon.metrics)
     prometheus_client.Info(
@@ -63,8 +63,10 @@
             lambda: daemon.store.calls,
         )
     )
-    gauge(daemon, "links_open", "Links that stand", lambda: len(peers.links))
-    gauge(
+    register_gauge(
+        daemon, "links_open", "Links that stand", lambda: len(peers.links)
+    )
+    register_gauge(
         daemon,
         "links_busy",
         "Links with answers outstanding",
--- a/lacewingdock/components/metrics/sidecar.py
+++ b/lacewingdock/components/metrics/sidecar.py
@@ -6,7 +6,10 @@
 from prometheus_client import Counter, Histogram
 
 from lacewingdock.components.metrics.const import ATTEMPT_BOUNDS, NAME, PREFIX
-from lacewingdock.components.metrics.shared import gauge, setup_shared
+from lacewingdock.components.metrics.shared import (
+    register_gauge,
+    register_shared_metrics,
+)
 from lacewingdock.components.peers import Peers
 from lacewingdock.components.runs import Runs
 from lacewingdock.core import Daemon
@@ -53,13 +56,13 @@
             registry=daemon.metrics,
         )
         slots = runs.slots
-        gauge(
+        register_gauge(
             daemon,
             "running",
             "Requests on the upstream",
             lambda: slots.running,
         )
-        gauge(
+        register_gauge(
             daemon,
             "queued",
             "Requests waiting for the upstream",
@@ -106,7 +109,7 @@
     daemon: Daemon, settings: SidecarSettings, peers: Peers, runs: Runs
 ) -> SidecarMetrics:
     """Create the sidecar's metrics and add them to the daemon."""
-    setup_shared(daemon, peers)
+    register_shared_metrics(daemon, peers)
     metrics = SidecarMetrics(daemon, settings, runs)
     daemon.add(NAME, metrics)
     return metrics
--- a/tests/components/budgets/test_allowance.py
+++ b/tests/components/budgets/test_allowance.py
@@ -14,7 +14,7 @@
 ENTRIES = ("e0", "e1", "e2")
 
 
-def allowance(store, clock=lambda: 0.0, entries=3):
+def build_allowance(store, clock=lambda: 0.0, entries=3):
     return Allowance(store, "w", "20260102", lambda: entries, clock)
 
 
@@ -38,7 +38,7 @@
 
     def start(self):
         """Return an empty allowance for an entry."""
-        return allowance(self.store, lambda: self.now)
+        return build_allowance(self.store, lambda: self.now)
 
     @rule(
         entry=st.sampled_from(ENTRIES),
@@ -59,9 +59,9 @@
     def end(self, part):
         """End the oldest request."""
         if self.open:
-            allowance_used, reserved = self.open.pop(0)
+            allowance, reserved = self.open.pop(0)
             cost = int(reserved * part)
-            allowance_used.settle(reserved, cost)
+            allowance.settle(reserved, cost)
             self.spent += cost
             self.excess += max(0, cost - reserved)
 
@@ -113,7 +113,7 @@
     store = FakeStore()
     now = [0.0]
     # Only a few of the entries that share the budget receive requests.
-    users = [allowance(store, lambda: now[0], entries) for _ in range(4)]
+    users = [build_allowance(store, lambda: now[0], entries) for _ in range(4)]
     spent = 0
     for _ in range(20_000):
         now[0] += 0.1
@@ -132,7 +132,7 @@
 # an outage: with the allowance used up, each one called the platform itself.
 def test_an_outage_is_bounded_by_what_was_granted():
     store = FakeStore()
-    user = allowance(store)
+    user = build_allowance(store)
     user.reserve(10, BUDGET)
     store.down = True
     granted = user.left
@@ -157,7 +157,7 @@
 def test_an_allowance_is_renewed_before_it_runs_out():
     store = FakeStore()
     now = [0.0]
-    user = allowance(store, lambda: now[0])
+    user = build_allowance(store, lambda: now[0])
     user.refill(BUDGET)
     first = user.left
     assert first > 0
