--- a/lacewingdock/components/metrics/sidecar.py
+++ b/lacewingdock/components/metrics/sidecar.py
@@ -1,4 +1,4 @@
-"""Support for the sidecar's metrics and its log line for each attempt."""
+"""The sidecar's metrics and its log line for each attempt."""
 
 import time
 from typing import Any
@@ -6,7 +6,10 @@
 from prometheus_client import Counter, Histogram
 
 from lacewingdock.components.metrics.const import ATTEMPT_BOUNDS, NAME, PREFIX
-from lacewingdock.components.metrics.shared import gauge, setup_shared
+from lacewingdock.components.metrics.shared import (
+    register_gauge,
+    register_shared_metrics,
+)
 from lacewingdock.components.peers import Peers
 from lacewingdock.components.runs import Runs
 from lacewingdock.core import Daemon
@@ -22,13 +25,13 @@
 
 
 class SidecarMetrics:
-    """What a sidecar counts.
+    """Metrics of a sidecar.
 
     Attributes:
         kind: Kind of the upstream.
         upstream: URL of the upstream.
         attempts: Attempts by kind of upstream and outcome.
-        seconds: Seconds an attempt took, queue included.
+        seconds: Duration of attempts in seconds, time in the queue included.
     """
 
     __slots__ = ("attempts", "kind", "seconds", "upstream")
@@ -53,22 +56,22 @@
             registry=daemon.metrics,
         )
         slots = runs.slots
-        gauge(
+        register_gauge(
             daemon,
             "running",
             "Requests on the upstream",
             lambda: slots.running,
         )
-        gauge(
+        register_gauge(
             daemon,
             "queued",
             "Requests waiting for the upstream",
             lambda: slots.queued,
         )
-        runs.on_end = self.take
+        runs.on_end = self.record
 
-    def take(self, run: Run, started: float) -> None:
-        """Count and log an attempt that has ended here."""
+    def record(self, run: Run, started: float) -> None:
+        """Count and log an attempt that ended at this sidecar."""
         seconds = time.monotonic() - started
         fields: dict[str, Any] = {}
         match run.outcome:
@@ -80,7 +83,7 @@
                 outcome = str(refusal.code)
                 fields["ran"] = refusal.ran
             case None:
-                # It repeats a run that is under way, whose answer it gets.
+                # The attempt joined a run in progress and receives its answer.
                 outcome = OUTCOME_JOINED
         self.attempts.labels(self.kind, outcome).inc()
         self.seconds.labels(self.kind).observe(seconds)
@@ -99,14 +102,14 @@
         )
 
     def unload(self) -> None:
-        """Nothing is held beyond the daemon's registry."""
+        """Do nothing: the metrics belong to the daemon's registry."""
 
 
 def setup(
     daemon: Daemon, settings: SidecarSettings, peers: Peers, runs: Runs
 ) -> SidecarMetrics:
-    """Set the sidecar's metrics up."""
-    setup_shared(daemon, peers)
+    """Create the sidecar's metrics and add them to the daemon."""
+    register_shared_metrics(daemon, peers)
     metrics = SidecarMetrics(daemon, settings, runs)
     daemon.add(NAME, metrics)
     return metrics
