--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -42,8 +42,8 @@
     timeouts_of_last_attempt,
 )
 from lacewingdock.components.pacing.const import MAX_WAIT_SHARE
-from lacewingdock.components.shifts import VersionSample
 from lacewingdock.components.suspects.decision import Decision
+from lacewingdock.components.traffic_shifting import VersionSample
 from lacewingdock.components.upstreams.connection import CallerLeft
 from lacewingdock.components.upstreams.instance import (
     EJECTION_FAILURES,
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -11,8 +11,8 @@
 from lacewingdock.components.gateway.metrics import GatewayMetrics
 from lacewingdock.components.gateway.outcome import refused
 from lacewingdock.components.routes import Routes
-from lacewingdock.components.shifts import Shifts
 from lacewingdock.components.suspects import PoisonRequests
+from lacewingdock.components.traffic_shifting import Shifts
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.components.upstreams.pool import ConnectionPool
--- a/lacewingdock/components/gateway/placement.py
+++ b/lacewingdock/components/gateway/placement.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from lacewingdock.components.shifts import VersionRule
+from lacewingdock.components.traffic_shifting import VersionRule
 from lacewingdock.components.upstreams.choice import Chooser, Reservation
 from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.log import get_logger
--- a/lacewingdock/components/inspection/gather.py
+++ b/lacewingdock/components/inspection/gather.py
@@ -15,7 +15,7 @@
 )
 from lacewingdock.components.mirror import Mirror
 from lacewingdock.components.routers import Routers
-from lacewingdock.components.shifts import Shifts
+from lacewingdock.components.traffic_shifting import Shifts
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.platform.history import format_revision
 
--- a/lacewingdock/components/shifts/__init__.py
+++ b/lacewingdock/components/traffic_shifting/__init__.py
@@ -18,7 +18,7 @@
     Message,
     PinnedSession,
 )
-from lacewingdock.components.shifts.const import (
+from lacewingdock.components.traffic_shifting.const import (
     MAX_UNSEEN_S,
     QUIET_REPORTS_PER_S,
     REPORT_LATE_S,
@@ -26,12 +26,18 @@
     REPORTS_LOST,
     WRITES_PART,
 )
-from lacewingdock.components.shifts.evidence import VersionSample
-from lacewingdock.components.shifts.pins import SessionPins
-from lacewingdock.components.shifts.report import Report, Stage, read_report
-from lacewingdock.components.shifts.reporter import Reporter
-from lacewingdock.components.shifts.restored_orders import RestoredOrders
-from lacewingdock.components.shifts.shift import Shift, VersionRule
+from lacewingdock.components.traffic_shifting.evidence import VersionSample
+from lacewingdock.components.traffic_shifting.pins import SessionPins
+from lacewingdock.components.traffic_shifting.report import (
+    Report,
+    Stage,
+    read_report,
+)
+from lacewingdock.components.traffic_shifting.reporter import Reporter
+from lacewingdock.components.traffic_shifting.restored_orders import (
+    RestoredOrders,
+)
+from lacewingdock.components.traffic_shifting.shift import Shift, VersionRule
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.json import decode_json
--- a/lacewingdock/components/shifts/evidence.py
+++ b/lacewingdock/components/traffic_shifting/evidence.py
@@ -11,7 +11,7 @@
 )
 from lacewingdock.components.exposure.evidence import error_factor
 from lacewingdock.components.exposure.judge import Control
-from lacewingdock.components.shifts.const import (
+from lacewingdock.components.traffic_shifting.const import (
     CONTROL_HALF_LIFE,
     MAX_TOLERATED_SHARE,
     MEDIAN_MIN_SAMPLES,
--- a/lacewingdock/components/shifts/reporter.py
+++ b/lacewingdock/components/traffic_shifting/reporter.py
@@ -4,17 +4,17 @@
 import time
 from collections.abc import Callable, Collection, Iterable
 
-from lacewingdock.components.shifts.const import (
+from lacewingdock.components.traffic_shifting.const import (
     KIND_REPORTS,
     REPORT_BAD_S,
     REPORT_S,
 )
-from lacewingdock.components.shifts.report import (
+from lacewingdock.components.traffic_shifting.report import (
     Report,
     Stage,
     read_report,
 )
-from lacewingdock.components.shifts.shift import Shift
+from lacewingdock.components.traffic_shifting.shift import Shift
 from lacewingdock.exceptions import LacewingdockError
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.platform.object_api import ABSENT, ObjectApi
--- a/lacewingdock/components/shifts/schedule.py
+++ b/lacewingdock/components/traffic_shifting/schedule.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from lacewingdock.components.shifts.const import (
+from lacewingdock.components.traffic_shifting.const import (
     CANARY_PART,
     FULL_LOAD_INSTANCES,
     FULL_LOAD_MIN_S,
--- a/lacewingdock/components/shifts/shift.py
+++ b/lacewingdock/components/traffic_shifting/shift.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from lacewingdock.components.gossip import REPEAT_S
-from lacewingdock.components.shifts.const import (
+from lacewingdock.components.traffic_shifting.const import (
     BAD_WEALTH,
     CANARY_PART,
     FORCE_BEFORE_S,
@@ -18,13 +18,13 @@
     RAMP_SHARE,
     SUSPECT_WEALTH,
 )
-from lacewingdock.components.shifts.evidence import (
+from lacewingdock.components.traffic_shifting.evidence import (
     ChangeDetector,
     VersionEvidence,
     tolerated_share,
 )
-from lacewingdock.components.shifts.report import Report, Stage
-from lacewingdock.components.shifts.schedule import Schedule, schedule
+from lacewingdock.components.traffic_shifting.report import Report, Stage
+from lacewingdock.components.traffic_shifting.schedule import Schedule, schedule
 from lacewingdock.helpers.clock import since_boot
 from lacewingdock.helpers.log import get_logger
 from lacewingdock.world.backend import ShiftOrder, UpstreamEntry
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -28,13 +28,13 @@
 from lacewingdock.components.readiness import ReadinessServer
 from lacewingdock.components.routers import CopyServer, Routers
 from lacewingdock.components.routes import Routes
-from lacewingdock.components.shifts import Shifts
-from lacewingdock.components.shifts.const import KIND_REPORTS, ROUND_S
 from lacewingdock.components.suspects import PoisonRequests
 from lacewingdock.components.suspects.address_check import (
     AddressCheck,
     check_address,
 )
+from lacewingdock.components.traffic_shifting import Shifts
+from lacewingdock.components.traffic_shifting.const import KIND_REPORTS, ROUND_S
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import UpstreamInstance
--- a/lacewingdock/daemons/router_announce.py
+++ b/lacewingdock/daemons/router_announce.py
@@ -7,8 +7,8 @@
 
 from lacewingdock.components.mirror import Mirror
 from lacewingdock.components.routers import ANNOUNCE_EVERY_S, Routers
-from lacewingdock.components.shifts import Shifts
-from lacewingdock.components.shifts.const import KIND_REPORTS
+from lacewingdock.components.traffic_shifting import Shifts
+from lacewingdock.components.traffic_shifting.const import KIND_REPORTS
 from lacewingdock.world.host import HostProfile
 from lacewingdock.world.router_entry import KIND_ROUTERS
 
--- a/lacewingdock/daemons/router_mirrors.py
+++ b/lacewingdock/daemons/router_mirrors.py
@@ -9,7 +9,7 @@
 from lacewingdock.components.mirror.copies import Copy
 from lacewingdock.components.mirror.health import StoreHealth
 from lacewingdock.components.mirror.listener import Listener
-from lacewingdock.components.shifts.const import KIND_REPORTS
+from lacewingdock.components.traffic_shifting.const import KIND_REPORTS
 from lacewingdock.components.upstreams.directory import LAPSE_S
 from lacewingdock.daemons.router_timing import (
     CHANGES_PAUSE_S,
--- a/lacewingdock/daemons/router_ports.py
+++ b/lacewingdock/daemons/router_ports.py
@@ -18,7 +18,7 @@
 from lacewingdock.components.probes.prober import Prober
 from lacewingdock.components.relay.port import RelayPort
 from lacewingdock.components.routers import Routers
-from lacewingdock.components.shifts import Shifts
+from lacewingdock.components.traffic_shifting import Shifts
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.daemons.router_relay import build_relay
 from lacewingdock.world.host import HostProfile
--- a/lacewingdock/daemons/router_state.py
+++ b/lacewingdock/daemons/router_state.py
@@ -22,7 +22,7 @@
 from lacewingdock.components.relay.port import RelayPort
 from lacewingdock.components.routers import Routers
 from lacewingdock.components.routes import Routes
-from lacewingdock.components.shifts import Shifts
+from lacewingdock.components.traffic_shifting import Shifts
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.const import VERSION
 from lacewingdock.platform import documents
--- a/lacewingdock/daemons/router_timing.py
+++ b/lacewingdock/daemons/router_timing.py
@@ -18,7 +18,7 @@
 )
 from lacewingdock.components.relay.const import MIN_LIMIT_PART, QUERY_INTERVAL_S
 from lacewingdock.components.routers import PULL_TIMEOUT_S, ROUTERS_PER_PULL
-from lacewingdock.components.shifts.const import (
+from lacewingdock.components.traffic_shifting.const import (
     FORCE_BEFORE_S,
     REPORT_BAD_S,
     ROUND_S,
--- a/lacewingdock/helpers/source_tables.py
+++ b/lacewingdock/helpers/source_tables.py
@@ -12,8 +12,8 @@
     "mirror",
     "routers",
     "routes",
-    "shifts",
     "suspects",
+    "traffic_shifting",
     "upstreams",
 )
 # Further modules of the router, outside of these folders.
--- a/lacewingdock/lab/router.py
+++ b/lacewingdock/lab/router.py
@@ -33,7 +33,7 @@
 from lacewingdock.components.pacing import Pacer
 from lacewingdock.components.pacing.const import MAX_WAIT_SHARE
 from lacewingdock.components.probes.prober import Prober
-from lacewingdock.components.shifts import VersionRule
+from lacewingdock.components.traffic_shifting import VersionRule
 from lacewingdock.components.upstreams.choice import Chooser, Reservation
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import UpstreamInstance
--- a/tests/components/routers/test_routers.py
+++ b/tests/components/routers/test_routers.py
@@ -10,9 +10,9 @@
     LOSSES_VALID_S,
     Routers,
 )
-from lacewingdock.components.shifts.const import KIND_REPORTS
-from lacewingdock.components.shifts.report import Report
-from lacewingdock.components.shifts.reporter import Reporter
+from lacewingdock.components.traffic_shifting.const import KIND_REPORTS
+from lacewingdock.components.traffic_shifting.report import Report
+from lacewingdock.components.traffic_shifting.reporter import Reporter
 from lacewingdock.exceptions import ErrorKind, LacewingdockError
 from lacewingdock.platform.object_api import ABSENT, ObjectApi
 from lacewingdock.platform.objects import StoredObject
--- a/tests/components/shifts/conftest.py
+++ b/tests/components/traffic_shifting/conftest.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.components.shifts.fakes import Clock
+from tests.components.traffic_shifting.fakes import Clock
 
 
 @pytest.fixture
--- a/tests/components/shifts/fakes.py
+++ b/tests/components/traffic_shifting/fakes.py
@@ -1,9 +1,9 @@
 """Fakes of the platform's store and of routers that share a roll-out."""
 
-from lacewingdock.components.shifts import Shifts
-from lacewingdock.components.shifts import shift as shift_module
-from lacewingdock.components.shifts.evidence import VersionSample
-from lacewingdock.components.shifts.report import Report, Stage
+from lacewingdock.components.traffic_shifting import Shifts
+from lacewingdock.components.traffic_shifting import shift as shift_module
+from lacewingdock.components.traffic_shifting.evidence import VersionSample
+from lacewingdock.components.traffic_shifting.report import Report, Stage
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.const import RAN_UNKNOWN
 from lacewingdock.platform.object_api import ObjectApi, unavailable_error
--- a/tests/components/shifts/test_limited_instances.py
+++ b/tests/components/traffic_shifting/test_limited_instances.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from lacewingdock.components.shifts.shift import SESSION_WAIT_S
-from tests.components.shifts.fakes import Store, call, router
+from lacewingdock.components.traffic_shifting.shift import SESSION_WAIT_S
+from tests.components.traffic_shifting.fakes import Store, call, router
 
 
 @pytest.mark.parametrize(
--- a/tests/components/shifts/test_returned.py
+++ b/tests/components/traffic_shifting/test_returned.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from lacewingdock.components.shifts import (
+from lacewingdock.components.traffic_shifting import (
     restored_orders as restored_orders_module,
 )
-from lacewingdock.components.shifts.report import Report, Stage
+from lacewingdock.components.traffic_shifting.report import Report, Stage
 from lacewingdock.platform.history import format_revision, revision_of
 from lacewingdock.platform.objects import StoredObject
 from lacewingdock.world.backend import ShiftState
-from tests.components.shifts.fakes import (
+from tests.components.traffic_shifting.fakes import (
     DURATION_S,
     Store,
     router,
--- a/tests/components/shifts/test_schedule.py
+++ b/tests/components/traffic_shifting/test_schedule.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from lacewingdock.components.shifts.const import (
+from lacewingdock.components.traffic_shifting.const import (
     CANARY_PART,
     FULL_LOAD_MIN_S,
     RAMP_PART,
     RAMP_SHARE,
     SESSIONS_MOVE_PART,
 )
-from lacewingdock.components.shifts.schedule import schedule
+from lacewingdock.components.traffic_shifting.schedule import schedule
 
 DURATIONS_S = (2.0, 6.0, 12.0, 16.0, 20.0, 24.0, 60.0, 600.0)
 EXPOSURES = (0.01, 0.05, 0.0975, 0.15, 0.5)
--- a/tests/components/shifts/test_shift.py
+++ b/tests/components/traffic_shifting/test_shift.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from lacewingdock.components.shifts.const import FORCE_BEFORE_S
-from lacewingdock.components.shifts.report import Report, Stage
-from lacewingdock.components.shifts.shift import Shift
+from lacewingdock.components.traffic_shifting.const import FORCE_BEFORE_S
+from lacewingdock.components.traffic_shifting.report import Report, Stage
+from lacewingdock.components.traffic_shifting.shift import Shift
 from lacewingdock.world.backend import ShiftState
-from tests.components.shifts.fakes import (
+from tests.components.traffic_shifting.fakes import (
     DURATION_S,
     Store,
     call,
--- a/tests/components/shifts/test_told.py
+++ b/tests/components/traffic_shifting/test_told.py
@@ -1,9 +1,9 @@
 """Tests of the gossip about roll-outs."""
 
 from lacewingdock.components.gossip import Message, PinnedSession
-from lacewingdock.components.shifts.pins import SessionPins
-from lacewingdock.components.shifts.shift import SESSION_WAIT_S
-from tests.components.shifts.fakes import (
+from lacewingdock.components.traffic_shifting.pins import SessionPins
+from lacewingdock.components.traffic_shifting.shift import SESSION_WAIT_S
+from tests.components.traffic_shifting.fakes import (
     Store,
     call,
     router,
@@ -80,7 +80,8 @@
     """
     now = [500.0]
     monkeypatch.setattr(
-        "lacewingdock.components.shifts.pins.time.monotonic", lambda: now[0]
+        "lacewingdock.components.traffic_shifting.pins.time.monotonic",
+        lambda: now[0],
     )
     pins = [SessionPins(lambda: 5.0) for _ in range(2)]
     pins[0].pin("svc", "s", "v1")
--- a/tests/components/shifts/test_under_load.py
+++ b/tests/components/traffic_shifting/test_under_load.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.components.shifts.fakes import (
+from tests.components.traffic_shifting.fakes import (
     DURATION_S,
     Store,
     call,
--- a/tests/components/upstreams/signalling_fleet.py
+++ b/tests/components/upstreams/signalling_fleet.py
@@ -13,7 +13,7 @@
     find_instance,
 )
 from lacewingdock.components.pacing import Pacer
-from lacewingdock.components.shifts import VersionRule
+from lacewingdock.components.traffic_shifting import VersionRule
 from lacewingdock.components.upstreams.choice import Chooser, Reservation
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.world.call import ResponseHead
--- a/tests/daemons/observed_router.py
+++ b/tests/daemons/observed_router.py
@@ -2,7 +2,7 @@
 
 from lacewingdock.components.cordons import CordonListener
 from lacewingdock.components.mirror.listener import PerObjectListener
-from lacewingdock.components.shifts.const import KIND_REPORTS
+from lacewingdock.components.traffic_shifting.const import KIND_REPORTS
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.sync import InstanceListener
 from lacewingdock.daemons.router import LAPSE_CHECK_INTERVAL_S
