--- a/lacewingdock/components/gateway/exchange.py
+++ b/lacewingdock/components/gateway/exchange.py
@@ -42,7 +42,7 @@
     timeouts_of_last_attempt,
 )
 from lacewingdock.components.pacing.const import MAX_WAIT_SHARE
-from lacewingdock.components.suspects.decision import Decision
+from lacewingdock.components.poison_requests.decision import Decision
 from lacewingdock.components.traffic_shifting import VersionSample
 from lacewingdock.components.upstreams.connection import CallerLeft
 from lacewingdock.components.upstreams.instance import (
--- a/lacewingdock/components/gateway/gateway.py
+++ b/lacewingdock/components/gateway/gateway.py
@@ -10,8 +10,8 @@
 from lacewingdock.components.gateway.confidence_threshold import Pressure
 from lacewingdock.components.gateway.metrics import GatewayMetrics
 from lacewingdock.components.gateway.outcome import refused
+from lacewingdock.components.poison_requests import PoisonRequests
 from lacewingdock.components.routes import Routes
-from lacewingdock.components.suspects import PoisonRequests
 from lacewingdock.components.traffic_shifting import Shifts
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.instance import UpstreamInstance
--- a/lacewingdock/components/suspects/__init__.py
+++ b/lacewingdock/components/poison_requests/__init__.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from lacewingdock.components.suspects.address_check import AddressCheck
-from lacewingdock.components.suspects.const import (
+from lacewingdock.components.poison_requests.address_check import AddressCheck
+from lacewingdock.components.poison_requests.const import (
     CRASHES_TO_HOLD,
     HOLD_S,
     IN_FLIGHT_CRASH_S,
@@ -30,12 +30,12 @@
     SUSPECT_EXPIRY_S,
     TRIAL_S,
 )
-from lacewingdock.components.suspects.crash_verdict import (
+from lacewingdock.components.poison_requests.crash_verdict import (
     CrashVerdict,
     Responder,
     judge_crash,
 )
-from lacewingdock.components.suspects.decision import Decision
+from lacewingdock.components.poison_requests.decision import Decision
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.components.upstreams.instance import UpstreamInstance
 from lacewingdock.helpers.digest import digest
--- a/lacewingdock/components/suspects/address_check.py
+++ b/lacewingdock/components/poison_requests/address_check.py
@@ -3,8 +3,10 @@
 import time
 from dataclasses import dataclass
 
-from lacewingdock.components.suspects.const import ADDRESS_CHECK_TIMEOUT_S
-from lacewingdock.components.suspects.crash_verdict import Responder
+from lacewingdock.components.poison_requests.const import (
+    ADDRESS_CHECK_TIMEOUT_S,
+)
+from lacewingdock.components.poison_requests.crash_verdict import Responder
 from lacewingdock.components.upstreams.connection import (
     TimedOut,
     UpstreamConnection,
--- a/lacewingdock/components/suspects/crash_verdict.py
+++ b/lacewingdock/components/poison_requests/crash_verdict.py
@@ -8,7 +8,7 @@
 
 from enum import StrEnum
 
-from lacewingdock.components.suspects.const import LATE_READ_MARGIN_S
+from lacewingdock.components.poison_requests.const import LATE_READ_MARGIN_S
 from lacewingdock.components.upstreams.instance import UpstreamInstance
 
 
--- a/lacewingdock/daemons/router.py
+++ b/lacewingdock/daemons/router.py
@@ -25,14 +25,14 @@
 from lacewingdock.components.mirror import Mirror
 from lacewingdock.components.mirror.listener import Listener, PerObjectListener
 from lacewingdock.components.pacing import Pacer
-from lacewingdock.components.readiness import ReadinessServer
-from lacewingdock.components.routers import CopyServer, Routers
-from lacewingdock.components.routes import Routes
-from lacewingdock.components.suspects import PoisonRequests
-from lacewingdock.components.suspects.address_check import (
+from lacewingdock.components.poison_requests import PoisonRequests
+from lacewingdock.components.poison_requests.address_check import (
     AddressCheck,
     check_address,
 )
+from lacewingdock.components.readiness import ReadinessServer
+from lacewingdock.components.routers import CopyServer, Routers
+from lacewingdock.components.routes import Routes
 from lacewingdock.components.traffic_shifting import Shifts
 from lacewingdock.components.traffic_shifting.const import KIND_REPORTS, ROUND_S
 from lacewingdock.components.upstreams.choice import Chooser
--- a/lacewingdock/daemons/router_restore.py
+++ b/lacewingdock/daemons/router_restore.py
@@ -4,8 +4,8 @@
 from typing import Final
 
 from lacewingdock.components.mirror.health import StoreHealth
+from lacewingdock.components.poison_requests import PoisonRequests
 from lacewingdock.components.routers import Routers
-from lacewingdock.components.suspects import PoisonRequests
 from lacewingdock.components.upstreams.directory import LAPSE_S, Directory
 from lacewingdock.world.host import Bounds
 
--- a/lacewingdock/helpers/source_tables.py
+++ b/lacewingdock/helpers/source_tables.py
@@ -10,9 +10,9 @@
     "gateway",
     "inspection",
     "mirror",
+    "poison_requests",
     "routers",
     "routes",
-    "suspects",
     "traffic_shifting",
     "upstreams",
 )
--- a/tests/components/gateway/fakes.py
+++ b/tests/components/gateway/fakes.py
@@ -12,9 +12,9 @@
 from lacewingdock.components.gateway.gateway import Gateway
 from lacewingdock.components.gateway.metrics import GatewayMetrics
 from lacewingdock.components.pacing import Pacer
+from lacewingdock.components.poison_requests import PoisonRequests
+from lacewingdock.components.poison_requests.address_check import check_address
 from lacewingdock.components.routes import Routes
-from lacewingdock.components.suspects import PoisonRequests
-from lacewingdock.components.suspects.address_check import check_address
 from lacewingdock.components.traffic_shifting import Shifts
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.directory import Directory
--- a/tests/components/gateway/test_suspects.py
+++ b/tests/components/gateway/test_suspects.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lacewingdock.components.suspects import fingerprint_of
+from lacewingdock.components.poison_requests import fingerprint_of
 from lacewingdock.components.upstreams.pool import ConnectionPool
 from lacewingdock.world.call import Call
 from lacewingdock.world.route import Repeat
--- a/tests/components/suspects/fleet.py
+++ b/tests/components/poison_requests/fleet.py
@@ -3,9 +3,9 @@
 import random
 import time
 
-from lacewingdock.components.suspects import PoisonRequests
-from lacewingdock.components.suspects.address_check import AddressCheck
-from lacewingdock.components.suspects.crash_verdict import Responder
+from lacewingdock.components.poison_requests import PoisonRequests
+from lacewingdock.components.poison_requests.address_check import AddressCheck
+from lacewingdock.components.poison_requests.crash_verdict import Responder
 from lacewingdock.components.upstreams.directory import Directory
 from lacewingdock.world.backend import UpstreamEntry
 from lacewingdock.world.call import Call
--- a/tests/components/suspects/test_address_check.py
+++ b/tests/components/poison_requests/test_address_check.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from lacewingdock.components.suspects.address_check import (
+from lacewingdock.components.poison_requests.address_check import (
     AddressCheck,
     check_address,
 )
-from lacewingdock.components.suspects.crash_verdict import Responder
+from lacewingdock.components.poison_requests.crash_verdict import Responder
 from tests.components.gateway.fakes import Upstream
 
 
--- a/tests/components/suspects/test_crash_verdict.py
+++ b/tests/components/poison_requests/test_crash_verdict.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from lacewingdock.components.suspects.crash_verdict import (
+from lacewingdock.components.poison_requests.crash_verdict import (
     CrashVerdict,
     judge_crash,
 )
 from lacewingdock.components.upstreams.instance import UpstreamInstance
-from tests.components.suspects.fleet import entry
+from tests.components.poison_requests.fleet import entry
 
 LOST_AT = 100.0
 
--- a/tests/components/suspects/test_suspects.py
+++ b/tests/components/poison_requests/test_suspects.py
@@ -4,9 +4,12 @@
 
 import pytest
 
-from lacewingdock.components import suspects as suspects_module
-from lacewingdock.components.suspects import PoisonRequests, fingerprint_of
-from lacewingdock.components.suspects.const import (
+from lacewingdock.components import poison_requests as suspects_module
+from lacewingdock.components.poison_requests import (
+    PoisonRequests,
+    fingerprint_of,
+)
+from lacewingdock.components.poison_requests.const import (
     CRASHES_TO_HOLD,
     HOLD_S,
     MAX_SUSPECTS,
@@ -15,7 +18,7 @@
     TRIAL_S,
 )
 from lacewingdock.components.upstreams.directory import Directory
-from tests.components.suspects.fleet import Clock, Fleet, call
+from tests.components.poison_requests.fleet import Clock, Fleet, call
 
 
 @pytest.fixture
--- a/tests/components/upstreams/test_restarts.py
+++ b/tests/components/upstreams/test_restarts.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from lacewingdock.components.suspects import PoisonRequests
+from lacewingdock.components.poison_requests import PoisonRequests
 from lacewingdock.components.upstreams.choice import Chooser
 from lacewingdock.components.upstreams.connection import UpstreamConnection
 from lacewingdock.components.upstreams.directory import Directory
