--- a/lacewingdock/components/runs/__init__.py
+++ b/lacewingdock/components/runs/__init__.py
@@ -71,7 +71,7 @@
         not_begun: Counter of the attempts not begun because their entry had
             given them up.
         slots: The upstream's capacity, in concurrent runs, and its queue.
-        shelf: The runs and the stored answers, by attempt id.
+        run_store: The runs and the stored answers, by attempt id.
         targets: Versions that the engine has loaded, or the service.
         on_end: Called with each run that ended and the monotonic time, in
             seconds, at which serving it started.
--- a/lacewingdock/components/upstreams/connection.py
+++ b/lacewingdock/components/upstreams/connection.py
@@ -63,7 +63,7 @@
     )
 
     def __init__(self, sock: socket.socket, keep_alive_s: float) -> None:
-        """Wrap a connected socket that may stay idle for `keep_s` seconds."""
+        """Wrap a connected socket; it may stay idle for `keep_alive_s`."""
         self.sock = sock
         self.keep_alive_s = keep_alive_s
         self.idle_since = time.monotonic()
--- a/tests/components/quarantine/virtual_fleet.py
+++ b/tests/components/quarantine/virtual_fleet.py
@@ -226,7 +226,7 @@
         vt: The virtual time.
         crash_after_s: Seconds that a crashing request runs.
         restart_s: Seconds until a crashed engine restarts; None for never.
-        begun: Ids of requests that an engine started.
+        started_requests: Ids of requests that an engine started.
         replies: By request: None for an answer, error kind and `ran` for a
             refusal, "waits" until then.
     """
--- a/tests/daemons/observed_router.py
+++ b/tests/daemons/observed_router.py
@@ -23,10 +23,10 @@
     Attributes:
         time: The virtual time.
         bounds: The router's propagation bounds.
-        look_s: Seconds between two samples.
+        sample_interval_s: Seconds between two samples.
         directory: The instances.
         version: Version of the configuration in force.
-        seen: (time, ids of the instances that accept work, version in
+        samples: (time, ids of the instances that accept work, version in
             force).
         health: The store's health state.
     """
